--- a/modules/gateway/include/hickorypost/gateway/exchange.h
+++ b/modules/gateway/include/hickorypost/gateway/exchange.h
@@ -256,6 +256,7 @@
 };
 
 /// An answer of the gateway itself. `retry_after`: when to come back.
-http1::response_head own_answer(unsigned status, std::optional<millis> retry_after = std::nullopt);
+http1::response_head gateway_response(unsigned status,
+                                      std::optional<millis> retry_after = std::nullopt);
 
 } // namespace hickorypost::gateway
--- a/modules/gateway/src/exchange.cpp
+++ b/modules/gateway/src/exchange.cpp
@@ -59,7 +59,7 @@
     return "unknown";
 }
 
-http1::response_head own_answer(unsigned status, std::optional<millis> retry_after)
+http1::response_head gateway_response(unsigned status, std::optional<millis> retry_after)
 {
     http1::response_head out;
     out.status = status;
@@ -356,7 +356,7 @@
                millis{static_cast<std::int64_t>(extra)};
     }
     record_.retry_after = wait;
-    caller_.respond(own_answer(status, wait), {});
+    caller_.respond(gateway_response(status, wait), {});
     const auto outcome = status == status_unavailable ? exchange_outcome::not_run
                          : status == status_timeout   ? exchange_outcome::timed_out
                                                       : exchange_outcome::failed;
--- a/modules/gateway/src/exchange_crashes.cpp
+++ b/modules/gateway/src/exchange_crashes.cpp
@@ -78,7 +78,7 @@
         finish(exchange_outcome::broken_off, head_.status, why);
         return;
     }
-    caller_.respond(own_answer(status_bad_request),
+    caller_.respond(gateway_response(status_bad_request),
                     "This request has crashed the backend servers that ran it.\n");
     finish(may_have_run_ ? exchange_outcome::failed : exchange_outcome::rejected,
            status_bad_request, why);
--- a/src/gateway/caller_connection.cpp
+++ b/src/gateway/caller_connection.cpp
@@ -78,7 +78,7 @@
     if (parser_.begun()) {
         keep_alive_ = false;
         busy_ = true;
-        respond(gateway::own_answer(status_request_timeout), {});
+        respond(gateway::gateway_response(status_request_timeout), {});
         return;
     }
     close();
@@ -126,7 +126,7 @@
     // The end of the refused request is unknown, so nothing after it can be parsed.
     keep_alive_ = false;
     busy_ = true;
-    respond(gateway::own_answer(status), {});
+    respond(gateway::gateway_response(status), {});
 }
 
 void caller_connection::take_request()
--- a/src/gateway/gateway_role.cpp
+++ b/src/gateway/gateway_role.cpp
@@ -278,7 +278,7 @@
 {
     journal_.rejected(decoded, status, why, table_ ? table_->config().version : 0);
     const auto wait = status == status_unavailable ? std::optional{no_config_retry} : std::nullopt;
-    request.answer->respond(gateway::own_answer(status, wait), {});
+    request.answer->respond(gateway::gateway_response(status, wait), {});
     return nullptr;
 }
 
