--- a/modules/gateway/include/hickorypost/gateway/retry_window.h
+++ b/modules/gateway/include/hickorypost/gateway/retry_window.h
@@ -28,7 +28,7 @@
 
     void request(instant now);
     /// Takes one repeat if the allowance has one left; `processes` share the slack.
-    bool try_repeat(std::size_t processes, instant now);
+    bool try_retry(std::size_t processes, instant now);
 
 private:
     struct slice {
--- a/modules/gateway/src/exchange.cpp
+++ b/modules/gateway/src/exchange.cpp
@@ -158,7 +158,7 @@
         return false;
     }
     auto& window = services_.windows.at(record_.service);
-    return window.try_repeat(services_.processes(), services_.now());
+    return window.try_retry(services_.processes(), services_.now());
 }
 
 std::string exchange::model_now() const
--- a/modules/gateway/src/retry_window.cpp
+++ b/modules/gateway/src/retry_window.cpp
@@ -30,7 +30,7 @@
     ++current(now).requests;
 }
 
-bool retry_window::try_repeat(std::size_t processes, instant now)
+bool retry_window::try_retry(std::size_t processes, instant now)
 {
     slice& last = current(now);
     double requests = 0;
--- a/modules/gateway/tests/parts_test.cpp
+++ b/modules/gateway/tests/parts_test.cpp
@@ -131,8 +131,8 @@
         const instant now = start + millis{step * 10};
         it.request(now);
         ++requests;
-        repeats += it.try_repeat(processes, now) ? 1U : 0U;
-        repeats += it.try_repeat(processes, now) ? 1U : 0U;
+        repeats += it.try_retry(processes, now) ? 1U : 0U;
+        repeats += it.try_retry(processes, now) ? 1U : 0U;
     }
     BOOST_TEST(repeats <= settings.ratio * static_cast<double>(requests) + settings.slack);
     BOOST_TEST(repeats > 0.6 * settings.ratio * static_cast<double>(requests));
