--- a/modules/gateway/include/hickorypost/gateway/event_splitter.h
+++ b/modules/gateway/include/hickorypost/gateway/event_splitter.h
@@ -7,31 +7,36 @@
 
 namespace hickorypost::gateway {
 
-/// Cuts the body of a `text/event-stream` answer into whole events and watches their ids. Sans I/O.
+/// Splits the body of a `text/event-stream` answer into events and checks that their ids are
+/// consecutive. Performs no I/O.
 ///
-/// A backend server may stop in the middle of an event. What has been passed on must end with a
-/// whole one, or the stream could not go on elsewhere without a piece lost or doubled.
+/// A backend server may stop in the middle of an event. The bytes that have been forwarded must end
+/// with a complete event; otherwise the stream could not be resumed on another backend server
+/// without losing or duplicating data.
 class event_splitter {
 public:
-    /// Events up to this id have been delivered and are dropped if they come again.
+    /// Events with an id up to `after` have already been delivered and are dropped.
     explicit event_splitter(std::optional<std::uint64_t> after = std::nullopt) : last_id_{after} {}
 
-    /// Takes bytes; gives the whole events that they complete.
+    /// Appends received bytes. Returns the events that are now complete and are to be forwarded.
     std::string push(std::string_view bytes);
-    /// The next bytes are of another run, which goes on after the last event passed on.
-    void restart() { pending_.clear(); }
+    /// Discards an incomplete event: the next bytes belong to another attempt, which resumes the
+    /// stream after `last_id()`.
+    void restart() { partial_event_.clear(); }
 
     [[nodiscard]] std::optional<std::uint64_t> last_id() const noexcept { return last_id_; }
-    /// Bytes of an event that is not complete.
-    [[nodiscard]] bool has_partial() const noexcept { return !pending_.empty(); }
+    /// Whether the last event received is incomplete.
+    [[nodiscard]] bool has_partial() const noexcept { return !partial_event_.empty(); }
+    /// Number of forwarded events with an id.
     [[nodiscard]] std::uint64_t events() const noexcept { return events_; }
-    /// An event's id did not follow the one before.
+    /// Whether an id was received that left a gap after `last_id()`.
     [[nodiscard]] bool out_of_order() const noexcept { return out_of_order_; }
 
 private:
+    /// Whether to forward an event.
     bool accept(std::string_view event);
 
-    std::string pending_;
+    std::string partial_event_;
     std::optional<std::uint64_t> last_id_;
     std::uint64_t events_ = 0;
     bool out_of_order_ = false;
--- a/modules/gateway/src/event_splitter.cpp
+++ b/modules/gateway/src/event_splitter.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// The value of an event's `id` line.
-std::optional<std::uint64_t> id_of(std::string_view event)
+/// The number in an event's `id` line; nothing if there is no such line or number.
+std::optional<std::uint64_t> parse_event_id(std::string_view event)
 {
     constexpr std::string_view name = "id:";
     while (!event.empty()) {
@@ -25,24 +25,24 @@
     return std::nullopt;
 }
 
-/// Where the first whole event ends, or npos.
+/// Offset of the end of the first complete event, or npos.
 std::size_t end_of_event(std::string_view text)
 {
-    const auto plain = text.find("\n\n");
-    const auto crlf = text.find("\r\n\r\n");
-    if (plain == std::string_view::npos && crlf == std::string_view::npos) {
+    const auto lf_end = text.find("\n\n");
+    const auto crlf_end = text.find("\r\n\r\n");
+    if (lf_end == std::string_view::npos && crlf_end == std::string_view::npos) {
         return std::string_view::npos;
     }
-    return plain < crlf ? plain + 2 : crlf + 4;
+    return lf_end < crlf_end ? lf_end + 2 : crlf_end + 4;
 }
 
 } // namespace
 
 std::string event_splitter::push(std::string_view bytes)
 {
-    pending_.append(bytes);
+    partial_event_.append(bytes);
     std::string out;
-    std::string_view rest = pending_;
+    std::string_view rest = partial_event_;
     for (auto end = end_of_event(rest); end != std::string_view::npos; end = end_of_event(rest)) {
         const auto event = rest.substr(0, end);
         if (accept(event)) {
@@ -50,15 +50,15 @@
         }
         rest.remove_prefix(end);
     }
-    pending_.erase(0, pending_.size() - rest.size());
+    partial_event_.erase(0, partial_event_.size() - rest.size());
     return out;
 }
 
 bool event_splitter::accept(std::string_view event)
 {
-    const auto id = id_of(event);
+    const auto id = parse_event_id(event);
     if (!id) {
-        return true; // a comment, or a part of the stream without an id
+        return true; // a comment, or an event without an id
     }
     if (last_id_ && *id <= *last_id_) {
         return false;
