--- a/modules/gateway/include/hickorypost/gateway/request_identity.h
+++ b/modules/gateway/include/hickorypost/gateway/request_identity.h
@@ -9,11 +9,13 @@
 
 namespace hickorypost::gateway {
 
-/// What equal requests have in common, whoever sends them again and at whichever host: client
-/// account, host, method, target and body. 128 bits, the same on all hosts.
+/// 128-bit hash by which retries of a request are recognized on all hosts: of client account, Host
+/// field, method, target and body.
 struct request_identity {
-    std::uint64_t outline = 0; ///< of everything but the body's bytes
-    std::uint64_t digest = 0;  ///< of everything; SHA-256, so that no caller can imitate another's
+    std::uint64_t outline = 0; ///< fast hash of all parts, with only the length of the body
+    /// First 64 bits of the SHA-256 of all parts. Cryptographic, so that no caller can craft a
+    /// request that is taken for another caller's.
+    std::uint64_t digest = 0;
 
     friend auto operator<=>(const request_identity&, const request_identity&) = default;
     friend bool operator==(const request_identity&, const request_identity&) = default;
@@ -28,13 +30,13 @@
     std::string_view body;
 };
 
-/// Cheap, to rule out most requests without reading their bodies.
+/// Does not read the body: a cheap test that rules out most requests.
 std::uint64_t outline_of(const identity_parts& parts) noexcept;
 request_identity identity_of(const identity_parts& parts);
 
 /// 32 lower-case hex digits.
 std::string to_text(const request_identity& identity);
-/// Nothing, if it is anything but 32 hex digits.
+/// Returns nothing unless `text` consists of 32 hex digits.
 std::optional<request_identity> parse_identity(std::string_view text);
 
 struct request_identity_hash {
--- a/modules/gateway/src/request_identity.cpp
+++ b/modules/gateway/src/request_identity.cpp
@@ -11,28 +11,27 @@
 
 namespace {
 
-constexpr int hexadecimal = 16;
-constexpr std::size_t half_digits = 16;
+constexpr int hex_base = 16;
+constexpr std::size_t digits_per_half = 16;
 
 std::array<std::string_view, 4> outline_fields(const identity_parts& parts)
 {
     return {parts.account, parts.host, parts.method, parts.target};
 }
 
-void append_half(std::string& to, std::uint64_t value)
+void append_hex(std::string& to, std::uint64_t value)
 {
-    std::array<char, half_digits> digits{};
+    std::array<char, digits_per_half> digits{};
     const auto end =
-        std::to_chars(digits.data(), digits.data() + digits.size(), value, hexadecimal).ptr;
+        std::to_chars(digits.data(), digits.data() + digits.size(), value, hex_base).ptr;
     const auto n = static_cast<std::size_t>(end - digits.data());
-    to.append(half_digits - n, '0').append(digits.data(), n);
+    to.append(digits_per_half - n, '0').append(digits.data(), n);
 }
 
-std::optional<std::uint64_t> parse_half(std::string_view text)
+std::optional<std::uint64_t> parse_hex(std::string_view text)
 {
     std::uint64_t value = 0;
-    const auto [end, ec] =
-        std::from_chars(text.data(), text.data() + text.size(), value, hexadecimal);
+    const auto [end, ec] = std::from_chars(text.data(), text.data() + text.size(), value, hex_base);
     const bool whole = ec == std::errc{} && end == text.data() + text.size();
     return whole ? std::optional{value} : std::nullopt;
 }
@@ -41,7 +40,8 @@
 
 std::uint64_t outline_of(const identity_parts& parts) noexcept
 {
-    // Each field's hash seeds the next one's, so that bytes cannot move from one field to another.
+    // Each field's hash is seeded with the previous field's and the field's length. Otherwise
+    // requests with the same bytes split differently between fields would have the same hash.
     std::uint64_t out = parts.body.size();
     for (const auto field : outline_fields(parts)) {
         out = hash_bytes(field, out + field.size());
@@ -78,18 +78,18 @@
 std::string to_text(const request_identity& identity)
 {
     std::string out;
-    append_half(out, identity.outline);
-    append_half(out, identity.digest);
+    append_hex(out, identity.outline);
+    append_hex(out, identity.digest);
     return out;
 }
 
 std::optional<request_identity> parse_identity(std::string_view text)
 {
-    if (text.size() != 2 * half_digits) {
+    if (text.size() != 2 * digits_per_half) {
         return std::nullopt;
     }
-    const auto outline = parse_half(text.substr(0, half_digits));
-    const auto digest = parse_half(text.substr(half_digits));
+    const auto outline = parse_hex(text.substr(0, digits_per_half));
+    const auto digest = parse_hex(text.substr(digits_per_half));
     if (!outline || !digest) {
         return std::nullopt;
     }
--- a/modules/gateway/tests/request_identity_test.cpp
+++ b/modules/gateway/tests/request_identity_test.cpp
@@ -7,8 +7,9 @@
 
 BOOST_AUTO_TEST_SUITE(request_identity_suite)
 
-// Guards against one caller's request being taken for another's.
-BOOST_AUTO_TEST_CASE(each_part_of_a_request_tells_it_from_others)
+// Guards against taking one caller's request for another's, also when the same bytes are split
+// differently between the parts.
+BOOST_AUTO_TEST_CASE(identity_depends_on_each_part)
 {
     const identity_parts plain{"kuzgun", "a.example", "POST", "/x/y", "body"};
     const std::vector<identity_parts> others{{"hule", "a.example", "POST", "/x/y", "body"},
@@ -26,7 +27,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(text_form_reads_back)
+BOOST_AUTO_TEST_CASE(text_form_round_trips)
 {
     const request_identity it{0x1fU, 0xf000000000000001U};
     BOOST_TEST(to_text(it) == "000000000000001ff000000000000001");
