--- a/modules/gateway/src/retry_window.cpp
+++ b/modules/gateway/src/retry_window.cpp
@@ -6,23 +6,24 @@
 
 namespace {
 
-/// Slices of a window; one more is kept, so that the oldest counts until it is wholly outside.
-constexpr std::int64_t slices_per_window = 10;
+/// The window is counted in this many buckets of equal length. One more is kept, so that the oldest
+/// bucket counts until it lies entirely outside the window.
+constexpr std::int64_t buckets_per_window = 10;
 
 } // namespace
 
-retry_window::slice& retry_window::current(instant now)
+retry_window::bucket& retry_window::current(instant now)
 {
     const std::int64_t length = std::max<std::int64_t>(
-        1, std::chrono::duration_cast<micros>(settings_.window).count() / slices_per_window);
+        1, std::chrono::duration_cast<micros>(settings_.window).count() / buckets_per_window);
     const std::int64_t number = now.time_since_epoch().count() / length;
-    if (slices_.empty() || slices_.back().number != number) {
-        slices_.push_back({number, 0, 0});
+    if (buckets_.empty() || buckets_.back().number != number) {
+        buckets_.push_back({number, 0, 0});
     }
-    while (slices_.front().number < number - slices_per_window) {
-        slices_.pop_front();
+    while (buckets_.front().number < number - buckets_per_window) {
+        buckets_.pop_front();
     }
-    return slices_.back();
+    return buckets_.back();
 }
 
 void retry_window::request(instant now)
@@ -32,18 +33,19 @@
 
 bool retry_window::try_retry(std::size_t processes, instant now)
 {
-    slice& last = current(now);
+    bucket& newest = current(now);
     double requests = 0;
-    double repeats = 1;
-    for (const auto& it : slices_) {
+    double retries = 1;
+    for (const auto& it : buckets_) {
         requests += it.requests;
-        repeats += it.repeats;
+        retries += it.retries;
     }
-    const double share = settings_.slack / static_cast<double>(std::max<std::size_t>(1, processes));
-    if (repeats > settings_.used_part * (settings_.ratio * requests + share)) {
+    const double slack_share =
+        settings_.slack / static_cast<double>(std::max<std::size_t>(1, processes));
+    if (retries > settings_.used_part * (settings_.ratio * requests + slack_share)) {
         return false;
     }
-    ++last.repeats;
+    ++newest.retries;
     return true;
 }
 
