--- a/modules/gateway/include/hickorypost/gateway/running_quantile.h
+++ b/modules/gateway/include/hickorypost/gateway/running_quantile.h
@@ -2,28 +2,29 @@
 
 namespace hickorypost::gateway {
 
-/// Follows a quantile of a stream of positive values in constant memory: each value moves it a
-/// small part up or down, so that it rests where that share of the values lies below.
+/// Estimates a quantile of a sequence of positive values in constant memory: each value moves the
+/// estimate up or down by a small factor, so that it settles where the fraction `quantile` of the
+/// values lies below it.
 class running_quantile {
 public:
-    /// `step`: part by which one value moves it at most.
-    running_quantile(double share, double step) : share_{share}, step_{step} {}
+    /// `step` is the largest relative change of the estimate by one value.
+    running_quantile(double quantile, double step) : quantile_{quantile}, step_{step} {}
 
     void add(double value)
     {
         if (!known()) {
-            at_ = value;
+            estimate_ = value;
         } else {
-            at_ *= value > at_ ? 1 + step_ * share_ : 1 - step_ * (1 - share_);
+            estimate_ *= value > estimate_ ? 1 + step_ * quantile_ : 1 - step_ * (1 - quantile_);
         }
     }
-    [[nodiscard]] bool known() const noexcept { return at_ > 0; }
-    [[nodiscard]] double value() const noexcept { return at_; }
+    [[nodiscard]] bool known() const noexcept { return estimate_ > 0; }
+    [[nodiscard]] double value() const noexcept { return estimate_; }
 
 private:
-    double share_;
+    double quantile_;
     double step_;
-    double at_ = 0;
+    double estimate_ = 0;
 };
 
 } // namespace hickorypost::gateway
