--- a/modules/gateway/include/hickorypost/gateway/way_quality.h
+++ b/modules/gateway/include/hickorypost/gateway/way_quality.h
@@ -7,49 +7,50 @@
 
 namespace hickorypost::gateway {
 
-struct way_settings {
-    /// Events that come together after a pause this long were held up on their way: an engine that
-    /// pauses goes on with one event. Less than the shortest time after which TCP sends a lost
-    /// segment again (200 ms), more than what a busy engine takes for one step.
-    millis stall{150};
-    std::uint64_t stalled_events = 2;
-    /// Weight of the newest stream in the running share of those that were held up.
+struct way_quality_settings {
+    /// Several events that arrive together after a pause of at least this length were delayed by
+    /// the network: an engine that pauses continues with a single event. Shorter than the minimum
+    /// TCP retransmission timeout (200 ms), longer than a step of a busy engine.
+    millis min_stall{150};
+    std::uint64_t min_stall_events = 2;
+    /// Weight of the newest stream in the running share of delayed streams.
     double weight = 0.3;
-    /// Without news the share halves in this time, so that a way that is good again is found out.
+    /// Without new streams the share halves in this time, so that a network path is used again and
+    /// its recovery is noticed.
     millis half_life{2500};
 };
 
-/// How many streams are held up on their way from each failure domain, as this process sees it.
-/// Sans I/O.
+/// Measures the share of streams that the network delays on the path from each failure domain to
+/// this process. Performs no I/O.
 ///
-/// Load pattern: links of one failure domain lose packets. Each loss holds a stream's events up for
-/// 200 ms or more, while engines and their reports look sound; a stream of 40 events that crosses
-/// such links is late more often than not.
+/// Needed when links of one failure domain lose packets. Each loss delays a stream's events by
+/// 200 ms or more, while the engines and their reports look healthy; most streams of 40 events that
+/// cross such links are late.
 class way_quality {
 public:
-    explicit way_quality(way_settings settings) : settings_{settings} {}
+    explicit way_quality(way_quality_settings settings) : settings_{settings} {}
 
-    /// Whether `events` that come together after a pause of `gap` were held up on their way.
+    /// Whether the network delayed `events` that arrived together after a pause of `gap`.
     [[nodiscard]] bool is_stall(micros gap, std::uint64_t events) const
     {
-        return gap >= settings_.stall && events >= settings_.stalled_events;
+        return gap >= settings_.min_stall && events >= settings_.min_stall_events;
     }
-    /// A stream was held up, or ended without that.
-    void saw(const std::string& domain, bool held_up, instant now);
-    /// Share of streams that are held up on the way from there, beyond that on the best way: what
-    /// holds all up lies with this process.
+    /// Records a stream that was delayed, or that ended without a delay.
+    void saw(const std::string& domain, bool delayed, instant now);
+    /// Share of delayed streams from a failure domain, minus that of the best failure domain: if
+    /// streams from all of them are delayed, this process is the cause.
     [[nodiscard]] double excess(const std::string& domain, instant now) const;
 
 private:
-    struct way {
+    struct path {
         double share = 0;
         instant at;
     };
 
-    [[nodiscard]] double share_now(const way& it, instant now) const;
+    [[nodiscard]] double decayed_share(const path& it, instant now) const;
 
-    way_settings settings_;
-    std::map<std::string, way> ways_; ///< by failure domain
+    way_quality_settings settings_;
+    std::map<std::string, path> paths_; ///< by failure domain
 };
 
 } // namespace hickorypost::gateway
--- a/modules/gateway/tests/way_quality_test.cpp
+++ b/modules/gateway/tests/way_quality_test.cpp
@@ -9,12 +9,12 @@
 
 const instant start{millis{100'000}};
 
-/// Streams from a domain, one each 50 ms.
-instant streams(way_quality& it, const std::string& domain, int n, bool held_up, instant from)
+/// Records `n` streams from a failure domain, one every 50 ms. Returns the time of the last one.
+instant streams(way_quality& it, const std::string& domain, int n, bool delayed, instant from)
 {
     for (; n > 0; --n) {
         from += millis{50};
-        it.saw(domain, held_up, from);
+        it.saw(domain, delayed, from);
     }
     return from;
 }
@@ -23,9 +23,9 @@
 
 BOOST_AUTO_TEST_SUITE(ways)
 
-// A lost segment comes again after 200 ms together with all that was sent meanwhile. An engine that
-// reads a long prompt pauses as long, and goes on with one event.
-BOOST_AUTO_TEST_CASE(events_that_come_together_after_a_pause_were_held_up_on_their_way)
+// TCP retransmits a lost segment after 200 ms, and the events sent meanwhile arrive together with
+// it. An engine that prefills a long prompt pauses as long, but continues with a single event.
+BOOST_AUTO_TEST_CASE(burst_after_a_pause_is_a_stall)
 {
     const way_quality it{{}};
     BOOST_TEST(it.is_stall(millis{210}, 4));
@@ -33,8 +33,8 @@
     BOOST_TEST(!it.is_stall(millis{60}, 4));
 }
 
-// The links of one domain lose packets for some seconds, then are good again.
-BOOST_AUTO_TEST_CASE(a_way_is_bad_within_a_few_streams_and_good_again_within_seconds)
+// The links of one failure domain lose packets for a few seconds and then recover.
+BOOST_AUTO_TEST_CASE(lossy_path_is_detected_and_recovers)
 {
     way_quality it{{}};
     instant now = streams(it, "near", 40, false, start);
@@ -43,13 +43,14 @@
     now = streams(it, "far", 4, true, now);
     BOOST_TEST(it.excess("far", now) > 0.5);
     BOOST_TEST(it.excess("near", now) < 0.01);
-    BOOST_TEST(it.excess("far", now + millis{10'000}) < 0.1); // nothing was heard since
+    BOOST_TEST(it.excess("far", now + millis{10'000}) < 0.1); // no streams since
     now = streams(it, "far", 8, false, now);
     BOOST_TEST(it.excess("far", now) < 0.1);
 }
 
-// This process itself is slow: streams from everywhere come late. No way is to blame.
-BOOST_AUTO_TEST_CASE(what_holds_all_streams_up_makes_no_way_bad)
+// This process itself is slow, so the streams from all failure domains are delayed. No path may be
+// counted as worse than another.
+BOOST_AUTO_TEST_CASE(delay_of_all_paths_is_not_attributed_to_one)
 {
     way_quality it{{}};
     streams(it, "near", 10, true, start);
