--- a/modules/gateway/include/hickorypost/gateway/exchange.h
+++ b/modules/gateway/include/hickorypost/gateway/exchange.h
@@ -17,64 +17,70 @@
 
 /// Times and bounds of a request's lifecycle.
 struct exchange_settings {
-    /// A request times out this long before its caller stops waiting, so that the answer arrives.
+    /// A request times out this long before its caller stops waiting, so that the timeout's answer
+    /// still arrives.
     millis answer_margin{20};
     /// Time left below which no further attempt begins.
     millis min_attempt_time{30};
     /// Connection attempts per request before it is rejected as not executed.
     std::uint32_t max_connect_attempts = 12;
-    /// A plain answer up to this size is buffered until it is complete, so that a truncated one can
-    /// still be retried.
-    std::size_t held_bytes = std::size_t{256} << 10U;
-    /// Unsent bytes towards the caller at which reading from the backend server pauses.
+    /// A plain answer up to this size is buffered until it is complete, so that the request can
+    /// still be retried if the answer is truncated.
+    std::size_t max_buffered_bytes = std::size_t{256} << 10U;
+    /// Bytes queued for the caller above which reading from the backend server pauses.
     std::size_t max_unsent_bytes = std::size_t{256} << 10U;
-    /// A process that has just started knows no backend server before their first heartbeats.
-    /// Requests wait for them this long, but at most half of their time.
+    /// A process that has just started knows no backend server until the first heartbeats arrive.
+    /// A request waits this long for the first backend server, but at most half of the time until
+    /// its deadline.
     millis backend_wait{1300};
-    millis backend_poll{50};
-    /// A request waits this long for a permit, where all backend servers are limited: as long as
-    /// the host that grants them takes to reply.
+    millis backend_poll{50}; ///< interval at which such a request looks for backend servers
+    /// Where all backend servers are limited, a request waits this long for a permit: the time that
+    /// the host that grants permits takes to reply.
     millis permit_wait{45};
-    millis permit_poll{15};
-    /// Silence, as a ratio of the route's targets, after which a resumable stream fails over.
+    millis permit_poll{15}; ///< interval at which such a request looks for a permit
+    /// Time without an event after which a resumable stream fails over, as a multiple of the
+    /// route's target for the first event or the gap between events.
     double silence_factor = 2.0;
-    /// Silence of a backend server on an idempotent plain request, in multiples of the target.
+    /// Time without an answer after which an idempotent plain request fails over, as a multiple of
+    /// the route's target latency.
     double plain_silence_factor = 3.0;
-    /// Silence of an engine beyond its prefill time, as a ratio of the route's targets, after which
-    /// it is probed. Leaves time to resume a stream within its longest allowed pause.
+    /// Time without an event, beyond the expected prefill time, after which an engine is probed, as
+    /// a fraction of the route's target. Leaves time to resume a stream within its longest allowed
+    /// pause.
     double probe_after_ratio = 0.35;
-    /// Lower bound of that silence.
+    /// Lower bound of that time, before the prefill time is added.
     millis min_probe_delay{400};
-    /// Engines whose responses have stalled are probed.
+    /// Engines whose answers have stalled are probed.
     bool probe_silent_backends = true;
-    /// Broken streams are resumed at another backend server where their route allows it.
+    /// Broken streams are resumed on another backend server where their route allows it.
     bool resumes = true;
-    /// Retry-After of a request that was rejected for lack of room, spread over a span so that
-    /// callers do not return all at once.
-    millis least_retry_after{150};
-    millis retry_after_span{450};
+    /// Retry-After of a request that did not run is `min_retry_after` (or the time until a limited
+    /// backend server has room) plus a random part of `retry_after_jitter`, so that callers do not
+    /// retry all at once.
+    millis min_retry_after{150};
+    millis retry_after_jitter{450};
 };
 
 /// How a request ended, for logs, metrics and the report.
 enum class exchange_outcome : std::uint8_t {
-    answered,   ///< with a backend server's whole answer
-    rejected,   ///< before any attempt: no route, no key, no configuration, known to crash
-    not_run,    ///< aborted, and certainly not executed
-    failed,     ///< aborted, and may have been executed
-    timed_out,  ///< its deadline has passed
-    broken_off, ///< the answer had begun and could not be completed
-    caller_left,
+    answered,    ///< a backend server's complete answer was delivered
+    rejected,    ///< before any attempt: no route, no key, no configuration, or known to crash
+    not_run,     ///< aborted, and certainly not executed
+    failed,      ///< aborted, and may have been executed
+    timed_out,   ///< its deadline has passed
+    broken_off,  ///< part of the answer was delivered and the rest could not be
+    caller_left, ///< the caller closed its connection first
 };
 
 std::string_view name_of(exchange_outcome outcome) noexcept;
 
-/// What is logged of a request.
+/// What is logged, counted and reported about a request.
 struct exchange_record {
     std::string id;
     std::string route;
     std::string service;
     std::string account;
-    std::string backend; ///< the last one tried
+    std::string backend; ///< backend server of the last attempt
     std::string version;
     std::string model;
     request_kind kind = request_kind::safe;
@@ -82,26 +88,26 @@
     unsigned status = 0;
     std::string reason;
     std::uint32_t attempts = 0;
-    std::uint32_t candidates = 0;
-    std::uint32_t limited = 0;         ///< of those, refused to this request by their limits
+    std::uint32_t candidates = 0;      ///< backend servers that the last attempt could choose from
+    std::uint32_t limited = 0;         ///< of the candidates, those without room under their limit
     std::optional<millis> retry_after; ///< as sent to the caller
     std::uint64_t config_version = 0;
     std::uint64_t events = 0;
-    micros to_first{0};
+    micros to_first{0};    ///< from the request's arrival to its first event or answer's head
     micros longest_gap{0}; ///< between two deliveries of a stream's events
-    micros total{0};
+    micros total{0};       ///< from the request's arrival to its end
     double prompt_tokens = 0;
     double output_tokens = 0;
-    std::optional<request_identity> identity; ///< where it was needed
+    std::optional<request_identity> identity; ///< set if it was computed
 };
 
-/// The shared parts of one process that a request needs.
+/// Components of the process that all its requests share.
 struct exchange_services {
     backend_directory& directory;
     load_balancer& balancer;
     rollout_view& rollouts;
     model_choice& models;
-    std::map<std::string, retry_window>& windows; ///< by service
+    std::map<std::string, retry_window>& retry_windows; ///< by service
     attempt_port& backends;
     liveness_probe& liveness;
     crash_watch& crashes;
@@ -112,22 +118,22 @@
     random_fn random;
     exchange_settings settings;
     retry_window_settings retry_settings;
-    /// Processes that share the retry budget.
+    /// Number of processes that share the retry budget.
     std::function<std::size_t()> processes;
     std::function<std::string(const caller_request&, const attempt_order&)> write_head;
     std::function<backend_answer(const http1::response_head&)> read_answer;
     std::function<void(const exchange_record&)> finished;
-    /// A decision worth a line: what, and the inputs that decided it.
+    /// Logs and counts a decision about a request, with the reason for it.
     std::function<void(const exchange_record&, std::string_view decision, std::string_view why)>
         note;
 };
 
-/// A request from its head to its last byte: placement, attempts, retries, relay. Performs no I/O
-/// itself.
+/// Handles one request until its answer is complete: chooses backend servers, sends attempts,
+/// retries, and relays the answer. Performs no I/O itself.
 ///
-/// A request that is not idempotent is sent to a second backend server only after an answer that
-/// says it was not executed, or if none of its bytes left this process. It is rejected with 429 or
-/// 503 only where nothing can have run; other failures are 502 or 504.
+/// A request that is not idempotent is sent to a second backend server only if the first one
+/// answered that it did not execute the request, or if no byte of the request left this process.
+/// The status is 429 or 503 only if the request cannot have run; other failures are 502 or 504.
 class exchange final : private attempt_events {
 public:
     exchange(exchange_services& services, caller_port& caller, caller_request request,
@@ -137,13 +143,14 @@
     exchange& operator=(const exchange&) = delete;
 
     void start();
-    /// The caller has closed its connection. Cancels the current attempt.
+    /// The caller closed its connection. Cancels the current attempt.
     void caller_left();
-    /// This host is about to exit: the caller gets a final answer now, or its stream is broken off.
+    /// This host is about to exit. Sends the caller an error now, or breaks its answer off if part
+    /// of it has been sent.
     void host_exits();
-    /// The caller has taken all buffered bytes.
+    /// All bytes queued for the caller have been sent. Continues reading the answer.
     void caller_drained();
-    [[nodiscard]] bool over() const noexcept { return over_; }
+    [[nodiscard]] bool over() const noexcept { return finished_; }
     [[nodiscard]] const std::string& id() const noexcept { return request_.id; }
 
 private:
@@ -152,59 +159,81 @@
     void on_complete() override;
     void on_fault(attempt_fault fault) override;
 
-    [[nodiscard]] bool may_repeat() const;
+    /// Whether the request may run more than once.
+    [[nodiscard]] bool is_retryable() const;
     [[nodiscard]] millis time_left() const;
-    void count_send();
-    bool repeat_allowed();
+    /// Counts the current attempt as sent, once.
+    void count_sent_attempt();
+    /// Takes a retry from the service's retry budget, unless the route's attempts or the time are
+    /// used up. True without taking one if nothing has been sent yet.
+    bool try_take_retry();
+    /// Chooses one of the route's services at random, by weight.
     void pick_service();
+    /// Chooses a backend server and sends an attempt there, waits for one, or ends the request.
     void try_attempt();
+    /// Polls for the first backend server. False if the request has waited long enough.
     bool wait_for_backends();
     void send_to(const backend_entry& to, const job_size& job);
-    [[nodiscard]] job_size job_now() const;
-    [[nodiscard]] job_size job_of(const std::string& model) const;
-    [[nodiscard]] std::string model_now() const;
-    [[nodiscard]] identity_parts parts() const;
+    [[nodiscard]] job_size current_job() const;
+    [[nodiscard]] job_size job_for_model(const std::string& model) const;
+    [[nodiscard]] std::string current_model() const;
+    [[nodiscard]] identity_parts request_parts() const;
     const request_identity& identity();
+    /// Whether the request is suspected to crash backend servers.
     [[nodiscard]] crash_ledger::standing standing();
+    /// The connection of an attempt in flight was lost: checks whether its backend server crashed.
     void attempt_broke(std::string_view why);
     void continue_after_break(std::string_view why);
-    void note_success();
-    void refuse_as_crashing();
+    /// A successful answer shows that the request does not crash backend servers.
+    void clear_crash_suspicion();
+    void reject_as_crashing();
     [[nodiscard]] int priority() const;
-    /// The best candidate with room under its limit; takes those without room out.
+    /// The best candidate with room under its limit; null if there is none. If the best candidate
+    /// has no room, removes all candidates without room.
     const backend_entry* choose(std::vector<const backend_entry*>& candidates, const job_size& job);
     void request_permits();
-    /// Whether a backend server other than `except` has room under its limit.
-    bool room_for_another(std::string_view except);
+    /// Whether a backend server that has not been tried, other than `except`, has room.
+    bool has_room_elsewhere(std::string_view except);
+    /// Polls for a permit. False if the request has waited long enough.
     bool wait_for_permit();
-    void refuse_for_limits();
+    void reject_for_limits();
     void end_attempt(attempt_result how);
     void retry(std::string_view why);
-    void handle_not_run(const backend_answer& answer);
+    void handle_not_executed(const backend_answer& answer);
     void handle_failure_answer(http1::response_head& head);
     void start_relay(http1::response_head& head);
-    bool escalate(const backend_answer& answer);
+    /// Sends the request to a larger model if the answer's confidence is too low.
+    bool try_escalate(const backend_answer& answer);
     void relay_events(std::string_view bytes);
+    /// Resumes the stream if the caller has got a part of it, else retries.
     void resume_or_retry(std::string_view why);
-    void note_run();
-    void note_pace(std::uint64_t events);
-    void deliver_held();
+    /// Records how long the model of a complete stream took.
+    void record_run_times();
+    /// Records the mean interval of the stream's first events, as the engine's speed.
+    void record_event_interval(std::uint64_t events);
+    void deliver_buffered();
+    /// Ends the request without a further attempt: breaks the answer off, delivers the last failure
+    /// answer of a backend server, or sends an error.
     void abort(std::string_view why);
-    void refuse(unsigned status, std::string_view why);
+    void reply_with_error(unsigned status, std::string_view why);
+    /// Cancels the current attempt and ends the request.
     void stop(std::string_view why);
     void deadline_passed();
-    void stop_watching();
-    void watch_silence();
-    void schedule_probe(millis target, millis patience);
+    void cancel_silence_timers();
+    /// Starts the timers that fail over from a silent backend server and probe it.
+    void restart_silence_timer();
+    /// Schedules a liveness probe, unless `silence_limit` passes before it.
+    void schedule_probe(millis target, millis silence_limit);
     void probe_backend();
+    /// Moves the request to another backend server if a retry is allowed and one has room.
     void fail_over(std::string_view why);
     void finish(exchange_outcome outcome, unsigned status, std::string_view why);
 
     enum class stage : std::uint8_t {
-        waiting, ///< for an answer's head
-        holding, ///< a plain answer, or a failure, is gathered
-        pending, ///< a stream's head has come, none of its events
-        relaying ///< the caller has got the head
+        awaiting_head, ///< no head of an answer has been received
+        buffering,     ///< the body of a plain answer or a failure is buffered
+        head_received, ///< a stream's head has been received, but none of its events
+        relaying       ///< the head has been sent to the caller
     };
 
     exchange_services& services_;
@@ -216,46 +245,48 @@
     const service_spec* service_ = nullptr;
     exchange_record record_;
 
-    instant began_;
+    instant started_at_;
     instant deadline_;
     std::uint64_t deadline_timer_ = 0;
-    std::uint64_t silence_timer_ = 0;
+    std::uint64_t silence_timer_ = 0; ///< also polls for backend servers and permits
     std::uint64_t probe_timer_ = 0;
-    std::uint64_t probe_ = 0;          ///< of the current attempt's backend server, in `liveness`
-    std::uint32_t crashes_before_ = 0; ///< of this request, known when the attempt was sent
-    std::uint64_t crash_check_ = 0;    ///< of the last attempt's backend server, in `crashes`
+    std::uint64_t probe_id_ = 0;       ///< in `services_.liveness`
+    std::uint32_t crashes_before_ = 0; ///< crashes of this request known when the attempt was sent
+    std::uint64_t crash_check_id_ = 0; ///< in `services_.crashes`
 
-    std::unique_ptr<attempt> current_;
+    std::unique_ptr<attempt> current_attempt_;
     attempt_target target_; ///< of the current attempt
     std::optional<load_balancer::ticket> ticket_;
-    std::vector<std::string> tried_;
-    std::vector<std::string> limited_; ///< that would be tried if their limits had room
+    std::vector<std::string> tried_backends_;
+    std::vector<std::string> limited_backends_; ///< not tried because their limits have no room
     instant permit_wait_end_;
-    std::optional<millis> retry_after_; ///< until there is room under a limit
-    instant attempt_began_;
-    instant attempt_first_;            ///< its first event; the epoch: none yet
-    std::uint64_t attempt_events_ = 0; ///< after its first
-    bool attempt_is_whole_ = true;     ///< it does not go on with the events of another
-    std::uint32_t sends_ = 0;          ///< attempts that may have reached a backend server
-    std::uint32_t unsent_ = 0;         ///< attempts that surely did not
-    bool send_counted_ = false;        ///< the current attempt is among `sends_`
+    std::optional<millis> retry_after_; ///< time until a limited backend server has room
+    instant attempt_started_at_;
+    instant attempt_first_event_at_;          ///< the epoch: no event yet
+    std::uint64_t attempt_event_count_ = 0;   ///< not counting the first event
+    bool attempt_covers_whole_stream_ = true; ///< false: resumes a stream of another attempt
+    std::uint32_t sent_attempts_ = 0;         ///< attempts that may have reached a backend server
+    std::uint32_t unsent_attempts_ = 0;       ///< attempts that reached no backend server
+    bool attempt_counted_ = false;            ///< `sent_attempts_` includes the current attempt
     bool may_have_run_ = false;
     std::size_t model_rank_ = 0;
-    std::string judged_model_; ///< the last one whose confidence was read, and that
-    double judged_confidence_ = 0;
+    std::string last_scored_model_; ///< model of the last answer with a confidence
+    double last_confidence_ = 0;
 
-    stage stage_ = stage::waiting;
+    stage stage_ = stage::awaiting_head;
     http1::response_head head_;
-    std::string held_;
-    /// A backend server's own failure, which is better than one of ours if nothing better comes.
+    std::string buffered_body_;
+    /// Failure answer of a backend server. If all attempts fail, the caller gets it instead of the
+    /// gateway's own error, as it says more.
     std::optional<http1::response_head> failure_head_;
     std::string failure_body_;
     event_splitter events_;
-    instant last_event_;
-    bool over_ = false;
+    instant last_event_at_;
+    bool finished_ = false;
 };
 
-/// An answer of the gateway itself. `retry_after`: when to come back.
+/// An answer that the gateway itself gives, without a body. `retry_after` is the time after which
+/// the caller may retry.
 http1::response_head gateway_response(unsigned status,
                                       std::optional<millis> retry_after = std::nullopt);
 
--- a/modules/gateway/include/hickorypost/gateway/exchange_types.h
+++ b/modules/gateway/include/hickorypost/gateway/exchange_types.h
@@ -1,5 +1,6 @@
 #pragma once
-/// A request, its attempts, and the ports through which bytes come and go.
+/// Types that the exchange shares with its collaborators: the request, its attempts, and the
+/// interfaces to backend servers, callers and timers.
 
 #include "hickorypost/base/time.h"
 #include "hickorypost/gateway/backend_limits.h"
@@ -15,110 +16,115 @@
 
 namespace hickorypost::gateway {
 
-/// A caller's request, decoded. One attempt of its caller, whose retries are new requests.
+/// A decoded request of a caller. If the caller retries, each retry is a new `caller_request`.
 struct caller_request {
     std::string id; ///< as the caller sent it
     std::string method;
     std::string target; ///< path with query
     std::string host;
-    http1::field_list fields; ///< what is passed on unchanged
+    http1::field_list fields; ///< header fields that are forwarded unchanged
     std::string body;
-    std::string key;            ///< of the client account; never passed on
-    std::optional<millis> wait; ///< how long the caller will wait, from its sending on
-    std::string model;          ///< empty: names none
+    std::string key;            ///< API key of the client account; never forwarded
+    std::optional<millis> wait; ///< how long the caller waits for the answer, from its sending on
+    std::string model;          ///< empty: the request names no model
     bool any_model = false;     ///< the gateway chooses among the route's models
     double prompt_tokens = 0;
-    double output_tokens = 0; ///< the caller's bound or estimate
+    double output_tokens = 0; ///< the caller's upper bound or estimate
     std::vector<prompt_part> parts;
-    std::optional<std::uint64_t> last_event_id; ///< the caller goes on with a stream after this
+    /// The caller resumes a stream after the event with this id.
+    std::optional<std::uint64_t> last_event_id;
     std::string session;
     bool keep_alive = true;
     instant arrived; ///< when the whole request had been read
 };
 
-/// What one attempt tells its backend server besides the caller's request.
+/// What one attempt tells its backend server in addition to the caller's request.
 struct attempt_order {
-    std::string backend; ///< name of the one that must answer
+    std::string backend; ///< name of the backend server that must answer
     std::string account; ///< empty: the caller is not identified
-    millis wait{0};      ///< what is left of the time
-    std::string model;   ///< empty: as the caller named it
+    millis wait{0};      ///< time left until the deadline
+    std::string model;   ///< empty: use the model that the caller named
     int priority = 0;    ///< 0 is the most urgent
     std::optional<std::uint64_t> last_event_id;
 };
 
-/// A backend server's answer as far as its head tells.
+/// What the head of a backend server's answer says.
 struct backend_answer {
     unsigned status = 0;
-    bool ran = true; ///< false: it says that the request did not run there and never will
-    bool wrong_backend = false; ///< another incarnation has the address
-    bool signed_body = false;   ///< carries the signature without which a success is worth nothing
-    bool encoded = false;       ///< the body is not the backend server's own
-    std::string request_id;     ///< whose answer it is
-    std::optional<double> confidence; ///< 0 to 1: the model's opinion of its answer
+    bool ran = true; ///< false: the request did not run on this backend server and never will
+    bool wrong_backend = false;       ///< another incarnation has the address
+    bool signed_body = false;         ///< has the signature; a success without it is not trusted
+    bool encoded = false;             ///< has a Content-Encoding, which no backend server applies
+    std::string request_id;           ///< id of the request that is answered
+    std::optional<double> confidence; ///< 0 to 1: how sure the model is of its answer
     limit_statement limit;
 };
 
 /// Why an attempt ended without a complete answer.
 enum class attempt_fault : std::uint8_t {
-    not_sent, ///< no byte of the request left this process: it did not run
-    no_room,  ///< nor here: all connections that this process may have there are taken
-    silent,   ///< the connection hung or died without an answer
-    broken,   ///< cut short, or bytes that are no answer
+    not_sent, ///< no byte of the request left this process, so it did not run
+    no_room,  ///< not sent either: this process uses all connections that it may have there
+    silent,   ///< the connection hung or was lost before an answer
+    broken,   ///< the answer was truncated or malformed
 };
 
 std::string_view describe(attempt_fault fault) noexcept;
 
-/// What an attempt reports. Calls come from the main context, never from within `attempt_port`.
+/// Receives the progress of an attempt. Called from the main context, and never synchronously from
+/// within a call to `attempt_port`.
 class attempt_events {
 public:
     virtual ~attempt_events() = default;
-    /// False: the head answers another request; the attempt skips that answer and reads on.
+    /// Returns false if the head answers another request; the attempt then skips that answer and
+    /// reads the next one.
     virtual bool on_head(http1::response_head& head) = 0;
     virtual void on_body(std::string_view bytes) = 0;
-    /// The answer is whole. Nothing follows.
+    /// The answer is complete. No further call follows.
     virtual void on_complete() = 0;
-    /// Nothing follows.
+    /// The attempt failed. No further call follows.
     virtual void on_fault(attempt_fault fault) = 0;
 };
 
-/// One request on its way to a backend server. Destroying it cancels what still runs.
+/// One request in flight to a backend server. Destroying it cancels the request.
 class attempt {
 public:
     virtual ~attempt() = default;
+    /// Pauses or continues reading the answer.
     virtual void set_reading(bool on) = 0;
 };
 
-/// Where and what to send.
+/// The backend server that an attempt is sent to.
 struct attempt_target {
     std::string backend;
     std::string address;
     std::string service;
-    std::uint32_t max_connections = 0; ///< of the backend server, from all callers together
+    std::uint32_t max_connections = 0; ///< that the backend server accepts from all hosts together
 };
 
-/// Carries attempts; the only port that knows about connections.
+/// Sends requests to backend servers and owns the connections.
 class attempt_port {
 public:
     virtual ~attempt_port() = default;
+    /// `bodyless`: the answer has no body whatever its head says, as for HEAD.
     virtual std::unique_ptr<attempt> start(const attempt_target& target, std::string head,
                                            std::string_view body, bool bodyless,
                                            attempt_events& events) = 0;
 };
 
-/// The caller's connection, as the exchange sees it. Never destroys the exchange from within a
-/// call.
+/// The caller's connection, as the exchange uses it. An implementation must not destroy the
+/// exchange from within one of these calls.
 class caller_port {
 public:
     virtual ~caller_port() = default;
-    /// A whole answer at once.
+    /// Sends a complete answer.
     virtual void respond(http1::response_head head, std::string body) = 0;
-    /// An answer in pieces: `begin`, `piece` and either `end` or `break_off`, which must leave the
-    /// answer visibly incomplete.
+    /// Sends an answer in pieces: `begin`, any number of `piece`, then either `end` or `break_off`.
+    /// `break_off` must leave an answer that the caller recognizes as incomplete.
     virtual void begin(http1::response_head head) = 0;
     virtual void piece(std::string_view bytes) = 0;
     virtual void end() = 0;
     virtual void break_off() = 0;
-    /// Bytes that the caller has not taken yet.
+    /// Bytes that the caller's connection has not accepted yet.
     [[nodiscard]] virtual std::size_t unsent() const = 0;
 };
 
@@ -137,8 +143,10 @@
 class scheduler {
 public:
     virtual ~scheduler() = default;
-    virtual std::uint64_t add(instant due, std::function<void()> hook) = 0;
-    virtual void cancel(std::uint64_t which) = 0;
+    /// Calls `callback` once at `due`. Returns the timer's id, which is never 0.
+    virtual std::uint64_t add(instant due, std::function<void()> callback) = 0;
+    /// Cancels a timer. Does nothing for 0 and for timers that have fired.
+    virtual void cancel(std::uint64_t id) = 0;
 };
 
 } // namespace hickorypost::gateway
--- a/modules/gateway/include/hickorypost/gateway/run_times.h
+++ b/modules/gateway/include/hickorypost/gateway/run_times.h
@@ -12,71 +12,75 @@
 struct run_times_settings {
     /// Weight of the newest run.
     double weight = 0.05;
-    /// What is known of a model expires after this many runs of others, so that one that was too
+    /// Times of a model expire after this many runs of other models, so that a model that was too
     /// slow is tried again.
     std::uint64_t expiry_runs = 500;
-    /// Deviations above the mean that `nearly_all` allows for: about 19 in 20 runs take less.
+    /// Mean absolute deviations above the mean that `whole_ms` allows for: about 19 in 20 runs take
+    /// less.
     double deviations = 2;
-    /// Runs that the guess with which a model begins counts as.
-    double guess_runs = 4;
-    /// Reading times, in milliseconds, between which that guess is a line through the origin.
-    double guess_span_ms = 1000;
+    /// Number of runs that the prior estimate of a model's time until the first event counts as.
+    double prior_runs = 4;
+    /// The prior estimate is that the first event comes after the prefill time: half of the prior
+    /// runs are at 0 and half at this prefill time, in milliseconds.
+    double prior_span_ms = 1000;
 };
 
-/// How long runs take, here and now, until their first event and beyond: learned from the runs that
-/// this process saw. Sans I/O.
+/// Estimates how long a run of a model takes until its first event and until its end, from recent
+/// runs of this process. Performs no I/O.
 ///
-/// A long prompt takes many times as long as a short one of the same route, so the first event is
-/// learned as a line over the time that reading the prompt is reckoned to take. The length that
-/// a caller expects of an answer is left out: it is often far off.
+/// A long prompt takes many times as long as a short one on the same route, so the time until the
+/// first event is fitted as a linear function of the estimated prefill time. The answer length that
+/// the caller expects is not used, as it is often far off.
 class run_times {
 public:
     explicit run_times(run_times_settings settings) : settings_{settings} {}
 
-    /// A run's first event came `first` after it was sent, and its last one `rest` after that.
-    /// `reading_ms`: the time that reading its prompt was reckoned to take.
-    void saw(const std::string& route, const std::string& model, double reading_ms, micros first,
+    /// Records a complete run: its first event came `first` after it was sent, and its end `rest`
+    /// after the first event. `prefill_ms` is the estimated prefill time of its prompt.
+    void saw(const std::string& route, const std::string& model, double prefill_ms, micros first,
              micros rest);
-    /// A run had brought no event after `waited` and was given up.
-    void saw_none(const std::string& model, double reading_ms, micros waited);
-    /// Milliseconds until the first event of an ordinary run.
-    [[nodiscard]] double first_ms(const std::string& model, double reading_ms) const;
-    /// Milliseconds in which nearly all runs are whole.
+    /// Records a run that was cancelled after `waited`, without an event.
+    void record_abandoned(const std::string& model, double prefill_ms, micros waited);
+    /// Expected milliseconds until the first event.
+    [[nodiscard]] double first_ms(const std::string& model, double prefill_ms) const;
+    /// Milliseconds in which nearly all runs are complete, see `run_times_settings::deviations`.
     [[nodiscard]] double whole_ms(const std::string& route, const std::string& model,
-                                  double reading_ms) const;
+                                  double prefill_ms) const;
 
 private:
-    /// A running mean with the mean distance from it.
-    struct running {
+    /// An exponentially weighted mean with the mean absolute deviation from it.
+    struct running_mean {
         double mean = 0;
         double deviation = 0;
         bool known = false;
-        std::uint64_t last_run = 0; ///< of the route's runs
+        std::uint64_t last_run = 0; ///< value of `route_runs_` at the newest run
 
         void add(double value, double weight);
     };
-    /// A line fitted to the runs seen, the newest with the most weight, and the mean distance.
-    struct line {
+    /// An exponentially weighted linear regression: sums over the runs, and the mean absolute
+    /// deviation from the fitted line.
+    struct regression {
         double n = 0;
         double x = 0;
         double y = 0;
         double xx = 0;
         double xy = 0;
         double deviation = 0;
-        std::uint64_t last_run = 0; ///< of all runs
+        std::uint64_t last_run = 0; ///< value of `runs_` at the newest run
 
         void add(double at, double value, double weight);
         [[nodiscard]] double value(double at) const;
     };
 
-    /// Drops what no run has confirmed for `expiry_runs`.
+    /// Removes the times of models without a run among the last `expiry_runs`.
     void expire(const std::string& route);
-    line& line_of(const std::string& model);
-    [[nodiscard]] line guess() const;
+    regression& regression_of(const std::string& model);
+    [[nodiscard]] regression prior() const;
 
     run_times_settings settings_;
-    std::map<std::string, line> first_;                           ///< by model
-    std::map<std::pair<std::string, std::string>, running> rest_; ///< by route and model
+    std::map<std::string, regression> first_event_; ///< by model
+    std::map<std::pair<std::string, std::string>, running_mean>
+        after_first_; ///< by route and model
     std::uint64_t runs_ = 0;
     std::map<std::string, std::uint64_t> route_runs_;
 };
--- a/modules/gateway/src/exchange.cpp
+++ b/modules/gateway/src/exchange.cpp
@@ -1,4 +1,4 @@
-/// Request lifecycle, part one: placement, attempts, retries, deadlines.
+/// Request lifecycle, part one: choice of the backend server, attempts, retries, deadlines.
 
 #include "hickorypost/gateway/exchange.h"
 
@@ -13,7 +13,7 @@
 constexpr unsigned status_unavailable = 503;
 constexpr unsigned status_timeout = 504;
 
-std::string retry_after_text(millis wait)
+std::string format_retry_after(millis wait)
 {
     constexpr std::int64_t per_second = 1000;
     std::string digits = std::to_string(wait.count() % per_second);
@@ -27,13 +27,13 @@
 {
     switch (fault) {
     case attempt_fault::not_sent:
-        return "no connection";
+        return "could not connect";
     case attempt_fault::no_room:
-        return "all connections taken";
+        return "connection limit reached";
     case attempt_fault::silent:
         return "connection lost without an answer";
     case attempt_fault::broken:
-        return "answer cut short or malformed";
+        return "answer truncated or malformed";
     }
     return "unknown fault";
 }
@@ -65,7 +65,7 @@
     out.status = status;
     out.body = http1::framing::sized;
     if (retry_after) {
-        out.fields.add("Retry-After", retry_after_text(*retry_after));
+        out.fields.add("Retry-After", format_retry_after(*retry_after));
     }
     return out;
 }
@@ -73,13 +73,14 @@
 exchange::exchange(exchange_services& services, caller_port& caller, caller_request request,
                    route_table_ptr table, const route_spec& route, const account_spec* account)
     : services_{services}, caller_{caller}, request_{std::move(request)}, table_{std::move(table)},
-      route_{route}, account_{account}, began_{request_.arrived}, events_{request_.last_event_id}
+      route_{route}, account_{account}, started_at_{request_.arrived}, events_{
+                                                                           request_.last_event_id}
 {
     millis wait = route_.timeout;
     if (request_.wait) {
         wait = std::min(wait, *request_.wait - services_.settings.answer_margin);
     }
-    deadline_ = began_ + std::max(wait, millis{0});
+    deadline_ = started_at_ + std::max(wait, millis{0});
     record_.id = request_.id;
     record_.route = route_.name;
     record_.account = account_ == nullptr ? std::string{} : account_->name;
@@ -93,8 +94,8 @@
 exchange::~exchange()
 {
     services_.timers.cancel(deadline_timer_);
-    services_.crashes.cancel(crash_check_);
-    stop_watching();
+    services_.crashes.cancel(crash_check_id_);
+    cancel_silence_timers();
     if (ticket_) {
         services_.balancer.ended(*ticket_, attempt_result::dropped, services_.now());
     }
@@ -110,7 +111,7 @@
     if (request_.any_model) {
         model_rank_ = services_.models.first(route_);
     }
-    services_.windows.try_emplace(record_.service, services_.retry_settings)
+    services_.retry_windows.try_emplace(record_.service, services_.retry_settings)
         .first->second.request(services_.now());
     try_attempt();
 }
@@ -133,7 +134,7 @@
     service_ = table_->find_service(record_.service);
 }
 
-bool exchange::may_repeat() const
+bool exchange::is_retryable() const
 {
     return route_.kind == request_kind::safe ||
            (route_.kind == request_kind::streaming && route_.resumable);
@@ -144,35 +145,36 @@
     return std::chrono::duration_cast<millis>(deadline_ - services_.now());
 }
 
-void exchange::count_send()
+void exchange::count_sent_attempt()
 {
-    sends_ += std::exchange(send_counted_, true) ? 0 : 1;
+    sent_attempts_ += std::exchange(attempt_counted_, true) ? 0 : 1;
 }
 
-bool exchange::repeat_allowed()
+bool exchange::try_take_retry()
 {
-    if (sends_ == 0) {
+    if (sent_attempts_ == 0) {
         return true;
     }
-    if (sends_ >= route_.max_attempts || time_left() < services_.settings.min_attempt_time) {
+    if (sent_attempts_ >= route_.max_attempts ||
+        time_left() < services_.settings.min_attempt_time) {
         return false;
     }
-    auto& window = services_.windows.at(record_.service);
+    auto& window = services_.retry_windows.at(record_.service);
     return window.try_retry(services_.processes(), services_.now());
 }
 
-std::string exchange::model_now() const
+std::string exchange::current_model() const
 {
     return request_.any_model && !route_.models.empty() ? route_.models[model_rank_]
                                                         : std::string{};
 }
 
-job_size exchange::job_now() const
+job_size exchange::current_job() const
 {
-    return job_of(request_.any_model ? model_now() : request_.model);
+    return job_for_model(request_.any_model ? current_model() : request_.model);
 }
 
-job_size exchange::job_of(const std::string& model) const
+job_size exchange::job_for_model(const std::string& model) const
 {
     job_size out;
     out.prompt_tokens = request_.prompt_tokens;
@@ -190,19 +192,19 @@
     const instant now = services_.now();
     const auto suspicion = standing();
     if (suspicion == crash_ledger::standing::refused) {
-        refuse_as_crashing();
+        reject_as_crashing();
         return;
     }
     auto candidates = services_.directory.usable(record_.service, now);
     services_.rollouts.choose_version(record_.service, request_.session, candidates, now);
     record_.candidates = static_cast<std::uint32_t>(candidates.size());
-    job_size job = job_now();
+    job_size job = current_job();
     job.suspect =
         suspicion == crash_ledger::standing::suspect || suspicion == crash_ledger::standing::trial;
     const auto* const to = choose(candidates, job);
-    if (to == nullptr && !limited_.empty()) {
+    if (to == nullptr && !limited_backends_.empty()) {
         if (!wait_for_permit()) {
-            refuse_for_limits();
+            reject_for_limits();
         }
         return;
     }
@@ -210,12 +212,13 @@
         return;
     }
     if (to == nullptr) {
-        abort(record_.candidates == 0 ? "no backend server is known" : "all backend servers tried");
+        abort(record_.candidates == 0 ? "no backend server is known"
+                                      : "all backend servers have been tried");
         return;
     }
     if (suspicion == crash_ledger::standing::trial) {
         services_.suspects.tried(identity());
-        services_.note(record_, "tried", "refused otherwise, as it crashes backend servers");
+        services_.note(record_, "tried", "one trial of a request that has crashed backend servers");
     }
     send_to(*to, job);
 }
@@ -224,9 +227,9 @@
 {
     const auto& settings = services_.settings;
     const instant now = services_.now();
-    const auto waited = now - began_;
-    if (sends_ + unsent_ > 0 || waited >= settings.backend_wait ||
-        waited * 2 >= deadline_ - began_) {
+    const auto waited = now - started_at_;
+    if (sent_attempts_ + unsent_attempts_ > 0 || waited >= settings.backend_wait ||
+        waited * 2 >= deadline_ - started_at_) {
         return false;
     }
     silence_timer_ = services_.timers.add(now + settings.backend_poll, [this] {
@@ -243,7 +246,7 @@
     order.backend = to.record.name;
     order.account = record_.account;
     order.wait = time_left();
-    order.model = model_now();
+    order.model = current_model();
     order.priority = priority();
     order.last_event_id = events_.last_id();
     if (order.wait <= millis{0}) {
@@ -254,11 +257,11 @@
     record_.version = to.record.version;
     record_.model = job.model;
     ++record_.attempts;
-    attempt_began_ = now;
-    attempt_first_ = {};
-    attempt_is_whole_ = !order.last_event_id;
-    send_counted_ = false;
-    stage_ = stage_ == stage::relaying ? stage::relaying : stage::waiting;
+    attempt_started_at_ = now;
+    attempt_first_event_at_ = {};
+    attempt_covers_whole_stream_ = !order.last_event_id;
+    attempt_counted_ = false;
+    stage_ = stage_ == stage::relaying ? stage::relaying : stage::awaiting_head;
     events_.restart();
     permit_wait_end_ = {};
     crashes_before_ =
@@ -267,33 +270,34 @@
     ticket_ = services_.balancer.started(to, job, now);
     target_ = {to.record.id, to.record.address, record_.service,
                service_ == nullptr ? 0 : service_->max_connections};
-    current_ = services_.backends.start(target_, services_.write_head(request_, order),
-                                        request_.body, request_.method == "HEAD", *this);
-    watch_silence();
+    current_attempt_ = services_.backends.start(target_, services_.write_head(request_, order),
+                                                request_.body, request_.method == "HEAD", *this);
+    restart_silence_timer();
 }
 
 void exchange::end_attempt(attempt_result how)
 {
-    stop_watching();
-    current_.reset();
+    cancel_silence_timers();
+    current_attempt_.reset();
     if (!ticket_) {
         return;
     }
     services_.balancer.ended(*ticket_, how, services_.now());
     ticket_.reset();
-    // A lost connection says nothing about the version: counted, a few crashes during a trial
-    // would roll a good version back.
-    const bool own_failure = how == attempt_result::failed && failure_head_.has_value();
-    if (how == attempt_result::answered || own_failure) {
-        const instant end =
-            own_failure || attempt_first_ == instant{} ? services_.now() : attempt_first_;
-        const job_size job = job_now();
+    // Lost connections are not reported for the version: a few crashes of backend servers during a
+    // roll-out would otherwise roll a good version back.
+    const bool server_error = how == attempt_result::failed && failure_head_.has_value();
+    if (how == attempt_result::answered || server_error) {
+        const instant end = server_error || attempt_first_event_at_ == instant{}
+                                ? services_.now()
+                                : attempt_first_event_at_;
+        const job_size job = current_job();
         services_.rollouts.saw({record_.service, route_.name, job.model, record_.version,
-                                own_failure, end - attempt_began_,
+                                server_error, end - attempt_started_at_,
                                 services_.balancer.reading_ms(job, 0)});
-        if (attempt_first_ == instant{} && !own_failure) {
+        if (attempt_first_event_at_ == instant{} && !server_error) {
             services_.rollouts.saw_pace(record_.service, route_.name, record_.version,
-                                        end - attempt_began_);
+                                        end - attempt_started_at_);
         }
     }
 }
@@ -305,22 +309,23 @@
         return;
     }
     const bool resumable = route_.kind == request_kind::streaming && route_.resumable;
-    if (!resumable || !services_.settings.resumes || !repeat_allowed()) {
+    if (!resumable || !services_.settings.resumes || !try_take_retry()) {
         caller_.break_off();
         finish(exchange_outcome::broken_off, head_.status, why);
         return;
     }
     services_.note(record_, "resumed", why);
-    tried_.push_back(record_.backend);
+    tried_backends_.push_back(record_.backend);
     try_attempt();
 }
 
 void exchange::retry(std::string_view why)
 {
-    tried_.push_back(record_.backend);
-    stage_ = stage::waiting;
-    const bool allowed = !may_have_run_ || may_repeat();
-    if (!allowed || unsent_ >= services_.settings.max_connect_attempts || !repeat_allowed()) {
+    tried_backends_.push_back(record_.backend);
+    stage_ = stage::awaiting_head;
+    const bool allowed = !may_have_run_ || is_retryable();
+    if (!allowed || unsent_attempts_ >= services_.settings.max_connect_attempts ||
+        !try_take_retry()) {
         abort(why);
         return;
     }
@@ -338,22 +343,22 @@
     }
     if (failure_head_) {
         head_ = *failure_head_;
-        held_ = std::move(failure_body_);
-        deliver_held();
+        buffered_body_ = std::move(failure_body_);
+        deliver_buffered();
         return;
     }
-    refuse(may_have_run_ ? status_bad_gateway : status_unavailable, why);
+    reply_with_error(may_have_run_ ? status_bad_gateway : status_unavailable, why);
 }
 
-void exchange::refuse(unsigned status, std::string_view why)
+void exchange::reply_with_error(unsigned status, std::string_view why)
 {
     const auto& settings = services_.settings;
     std::optional<millis> wait;
     if (status == status_unavailable) {
-        const double spread = unit_random(services_.random);
-        const auto extra = static_cast<double>(settings.retry_after_span.count()) * spread;
-        wait = retry_after_.value_or(settings.least_retry_after) +
-               millis{static_cast<std::int64_t>(extra)};
+        const double fraction = unit_random(services_.random);
+        const auto jitter = static_cast<double>(settings.retry_after_jitter.count()) * fraction;
+        wait = retry_after_.value_or(settings.min_retry_after) +
+               millis{static_cast<std::int64_t>(jitter)};
     }
     record_.retry_after = wait;
     caller_.respond(gateway_response(status, wait), {});
@@ -365,27 +370,28 @@
 
 void exchange::deadline_passed()
 {
-    if (over_) {
+    if (finished_) {
         return;
     }
-    if (current_ && request_.any_model && stage_ != stage::relaying) {
-        services_.models.times().saw_none(model_now(), services_.balancer.reading_ms(job_now(), 0),
-                                          services_.now() - attempt_began_);
+    if (current_attempt_ && request_.any_model && stage_ != stage::relaying) {
+        services_.models.times().record_abandoned(current_model(),
+                                                  services_.balancer.reading_ms(current_job(), 0),
+                                                  services_.now() - attempt_started_at_);
     }
-    stop("time is over");
+    stop("deadline passed");
 }
 
 void exchange::host_exits()
 {
-    if (!over_) {
-        stop("host shuts down");
+    if (!finished_) {
+        stop("host is shutting down");
     }
 }
 
 void exchange::stop(std::string_view why)
 {
-    if (current_) {
-        // What was sent may have run.
+    if (current_attempt_) {
+        // The cancelled attempt may have run.
         may_have_run_ = true;
         end_attempt(attempt_result::dropped);
     }
@@ -394,12 +400,12 @@
         finish(exchange_outcome::broken_off, head_.status, why);
         return;
     }
-    refuse(may_have_run_ ? status_timeout : status_unavailable, why);
+    reply_with_error(may_have_run_ ? status_timeout : status_unavailable, why);
 }
 
 void exchange::caller_left()
 {
-    if (over_) {
+    if (finished_) {
         return;
     }
     end_attempt(attempt_result::dropped);
@@ -408,22 +414,22 @@
 
 void exchange::caller_drained()
 {
-    if (current_) {
-        current_->set_reading(true);
+    if (current_attempt_) {
+        current_attempt_->set_reading(true);
     }
 }
 
 void exchange::finish(exchange_outcome outcome, unsigned status, std::string_view why)
 {
-    over_ = true;
+    finished_ = true;
     services_.timers.cancel(std::exchange(deadline_timer_, 0));
-    services_.crashes.cancel(std::exchange(crash_check_, 0));
-    stop_watching();
+    services_.crashes.cancel(std::exchange(crash_check_id_, 0));
+    cancel_silence_timers();
     record_.outcome = outcome;
     record_.status = status;
     record_.reason = why;
     record_.events = events_.events();
-    record_.total = services_.now() - began_;
+    record_.total = services_.now() - started_at_;
     services_.finished(record_);
 }
 
--- a/modules/gateway/src/exchange_answer.cpp
+++ b/modules/gateway/src/exchange_answer.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-constexpr unsigned first_server_failure = 500;
-/// Events after a stream's first whose mean interval tells the engine's pace: early enough to act
-/// on while the stream runs, enough to smooth single pauses.
-constexpr std::uint64_t paced_events = 4;
+constexpr unsigned first_server_error = 500;
+/// Number of events after a stream's first one whose mean interval is taken as the engine's speed:
+/// few enough to be known while the stream runs, enough to average out single pauses.
+constexpr std::uint64_t interval_events = 4;
 
 } // namespace
 
@@ -20,22 +20,22 @@
 {
     const backend_answer answer = services_.read_answer(head);
     if (!answer.request_id.empty() && answer.request_id != request_.id) {
-        return false; // a late extra answer to an earlier request of this connection
+        return false; // late second answer to an earlier request on this connection
     }
     if (!answer.wrong_backend) {
         services_.limits.saw(record_.backend, answer.limit);
     }
     if (!answer.ran) {
-        handle_not_run(answer);
+        handle_not_executed(answer);
         return true;
     }
-    count_send();
+    count_sent_attempt();
     may_have_run_ = true;
-    const bool counterfeit =
+    const bool untrusted =
         answer.encoded || (detail::is_success(answer.status) && !answer.signed_body);
-    if (counterfeit) {
+    if (untrusted) {
         end_attempt(attempt_result::failed);
-        resume_or_retry("answer without the backend server's signature");
+        resume_or_retry("answer encoded or without the backend server's signature");
         return true;
     }
     if (stage_ == stage::relaying && !detail::is_success(answer.status)) {
@@ -43,66 +43,69 @@
         resume_or_retry("backend server failed");
         return true;
     }
-    if (answer.status >= first_server_failure) {
+    if (answer.status >= first_server_error) {
         handle_failure_answer(head);
         return true;
     }
-    if (!escalate(answer)) {
+    if (!try_escalate(answer)) {
         start_relay(head);
     }
     return true;
 }
 
-void exchange::handle_not_run(const backend_answer& answer)
+void exchange::handle_not_executed(const backend_answer& answer)
 {
     if (answer.wrong_backend) {
-        // Not an attempt of the route's allowance: the intended backend server has not seen it.
-        ++unsent_;
+        // Not counted against the route's attempts: the chosen backend server did not get the
+        // request.
+        ++unsent_attempts_;
         services_.directory.remove(record_.backend, services_.now());
         services_.note(record_, "backend_gone", "another incarnation answers at its address");
     }
     if (!answer.wrong_backend) {
-        count_send();
+        count_sent_attempt();
     }
     end_attempt(answer.wrong_backend ? attempt_result::unreachable : attempt_result::refused);
-    resume_or_retry("backend server refused");
+    resume_or_retry("request not executed by the backend server");
 }
 
 void exchange::handle_failure_answer(http1::response_head& head)
 {
     head_ = std::move(head);
-    held_.clear();
-    stage_ = stage::holding;
+    buffered_body_.clear();
+    stage_ = stage::buffering;
     failure_head_ = head_;
 }
 
-bool exchange::escalate(const backend_answer& answer)
+bool exchange::try_escalate(const backend_answer& answer)
 {
-    if (!request_.any_model || !answer.confidence || stage_ == stage::relaying || !may_repeat()) {
+    if (!request_.any_model || !answer.confidence || stage_ == stage::relaying || !is_retryable()) {
         return false;
     }
     if (!route_.models.empty()) {
         const auto& model = route_.models[model_rank_];
-        if (!judged_model_.empty() && judged_model_ != model) {
-            services_.models.saw_pair(judged_model_, judged_confidence_, model, *answer.confidence);
+        if (!last_scored_model_.empty() && last_scored_model_ != model) {
+            services_.models.saw_pair(last_scored_model_, last_confidence_, model,
+                                      *answer.confidence);
         }
-        judged_model_ = model;
-        judged_confidence_ = *answer.confidence;
+        last_scored_model_ = model;
+        last_confidence_ = *answer.confidence;
     }
-    std::vector<double> reading;
-    reading.reserve(route_.models.size());
+    std::vector<double> prefill_ms;
+    prefill_ms.reserve(route_.models.size());
     for (const auto& model : route_.models) {
-        reading.push_back(services_.balancer.reading_ms(job_of(model), 0));
+        prefill_ms.push_back(services_.balancer.reading_ms(job_for_model(model), 0));
     }
-    const std::uint32_t attempts_left = route_.max_attempts - std::min(sends_, route_.max_attempts);
-    const auto spent = std::chrono::duration_cast<millis>(services_.now() - began_);
+    const std::uint32_t attempts_left =
+        route_.max_attempts - std::min(sent_attempts_, route_.max_attempts);
+    const auto spent = std::chrono::duration_cast<millis>(services_.now() - started_at_);
     const auto rank = services_.models.after(
-        {route_, model_rank_, *answer.confidence, spent, time_left(), attempts_left, reading});
-    if (rank == model_rank_ || !room_for_another({}) || !repeat_allowed()) {
+        {route_, model_rank_, *answer.confidence, spent, time_left(), attempts_left, prefill_ms});
+    if (rank == model_rank_ || !has_room_elsewhere({}) || !try_take_retry()) {
         return false;
     }
     model_rank_ = rank;
-    services_.note(record_, "model_escalated", "confidence below the least accepted");
+    services_.note(record_, "model_escalated", "answer confidence below the accepted minimum");
     end_attempt(attempt_result::dropped);
     try_attempt();
     return true;
@@ -111,45 +114,45 @@
 void exchange::start_relay(http1::response_head& head)
 {
     if (stage_ == stage::relaying) {
-        return; // the answer keeps the head of its first run
+        return; // resumed stream: the caller already has the head of the first attempt
     }
     if (route_.kind == request_kind::streaming && detail::is_success(head.status)) {
         head_ = std::move(head);
-        stage_ = stage::pending;
+        stage_ = stage::head_received;
         return;
     }
     services_.balancer.first_answer(*ticket_, services_.now());
-    record_.to_first = services_.now() - began_;
+    record_.to_first = services_.now() - started_at_;
     head_ = std::move(head);
-    held_.clear();
-    stage_ = stage::holding;
+    buffered_body_.clear();
+    stage_ = stage::buffering;
 }
 
 void exchange::on_body(std::string_view bytes)
 {
-    const bool events = route_.kind == request_kind::streaming && stage_ != stage::holding;
+    const bool events = route_.kind == request_kind::streaming && stage_ != stage::buffering;
     if (events) {
         relay_events(bytes);
         return;
     }
     if (failure_head_) {
-        held_.append(bytes);
+        buffered_body_.append(bytes);
         return;
     }
     if (stage_ == stage::relaying) {
         caller_.piece(bytes);
     } else {
-        held_.append(bytes);
-        if (held_.size() > services_.settings.held_bytes) {
+        buffered_body_.append(bytes);
+        if (buffered_body_.size() > services_.settings.max_buffered_bytes) {
             stage_ = stage::relaying;
             head_.fields.remove_hop_by_hop();
             head_.fields.remove("Content-Length");
             caller_.begin(head_);
-            caller_.piece(std::exchange(held_, {}));
+            caller_.piece(std::exchange(buffered_body_, {}));
         }
     }
-    if (current_ && caller_.unsent() > services_.settings.max_unsent_bytes) {
-        current_->set_reading(false);
+    if (current_attempt_ && caller_.unsent() > services_.settings.max_unsent_bytes) {
+        current_attempt_->set_reading(false);
     }
 }
 
@@ -167,7 +170,7 @@
     }
     if (stage_ != stage::relaying) {
         stage_ = stage::relaying;
-        record_.to_first = services_.now() - began_;
+        record_.to_first = services_.now() - started_at_;
         if (const auto target = std::chrono::duration_cast<micros>(route_.target_latency);
             target.count() > 0) {
             services_.models.saw_first(static_cast<double>(record_.to_first.count()) /
@@ -178,98 +181,102 @@
         caller_.begin(head_);
     }
     const instant now = services_.now();
-    const bool first_of_attempt = attempt_first_ == instant{};
-    if (last_event_ != instant{}) {
-        record_.longest_gap = std::max(record_.longest_gap, now - last_event_);
+    const bool first_of_attempt = attempt_first_event_at_ == instant{};
+    if (last_event_at_ != instant{}) {
+        record_.longest_gap = std::max(record_.longest_gap, now - last_event_at_);
     }
     if (!first_of_attempt) {
-        services_.balancer.more_events(*ticket_, events_.events() - before, now - last_event_, now);
+        services_.balancer.more_events(*ticket_, events_.events() - before, now - last_event_at_,
+                                       now);
     }
-    last_event_ = now;
-    note_pace(events_.events() - before);
+    last_event_at_ = now;
+    record_event_interval(events_.events() - before);
     services_.balancer.first_answer(*ticket_, now);
     caller_.piece(whole);
-    if (current_ && caller_.unsent() > services_.settings.max_unsent_bytes) {
-        current_->set_reading(false);
+    if (current_attempt_ && caller_.unsent() > services_.settings.max_unsent_bytes) {
+        current_attempt_->set_reading(false);
     }
-    watch_silence();
+    restart_silence_timer();
 }
 
 void exchange::on_complete()
 {
-    if (failure_head_ && stage_ == stage::holding) {
-        failure_body_ = std::exchange(held_, {});
+    if (failure_head_ && stage_ == stage::buffering) {
+        failure_body_ = std::exchange(buffered_body_, {});
         end_attempt(attempt_result::failed);
         retry("backend server failed");
         return;
     }
-    const bool events = route_.kind == request_kind::streaming && stage_ != stage::holding;
-    if (events && (events_.has_partial() || stage_ == stage::pending)) {
-        // A stream that ends within an event, or with none, is truncated.
+    const bool events = route_.kind == request_kind::streaming && stage_ != stage::buffering;
+    if (events && (events_.has_partial() || stage_ == stage::head_received)) {
+        // A stream that ends inside an event, or without any event, is truncated.
         end_attempt(attempt_result::failed);
-        attempt_broke("stream ended within an event");
+        attempt_broke("stream truncated");
         return;
     }
-    note_success();
+    clear_crash_suspicion();
     end_attempt(attempt_result::answered);
     if (stage_ == stage::relaying) {
-        note_run();
+        record_run_times();
         caller_.end();
         finish(exchange_outcome::answered, head_.status, {});
         return;
     }
-    deliver_held();
+    deliver_buffered();
 }
 
-void exchange::note_pace(std::uint64_t events)
+void exchange::record_event_interval(std::uint64_t events)
 {
     const instant now = services_.now();
-    if (attempt_first_ == instant{}) {
-        attempt_first_ = now;
-        attempt_events_ = 0;
+    if (attempt_first_event_at_ == instant{}) {
+        attempt_first_event_at_ = now;
+        attempt_event_count_ = 0;
         return;
     }
-    const bool seen = attempt_events_ >= paced_events;
-    attempt_events_ += events;
-    if (!seen && attempt_events_ >= paced_events) {
-        // All streams of a service share its engines' steps, whatever their route and model.
+    const bool already_recorded = attempt_event_count_ >= interval_events;
+    attempt_event_count_ += events;
+    if (!already_recorded && attempt_event_count_ >= interval_events) {
+        // Compared across all routes and models of the service: an engine advances all its streams
+        // in the same steps.
         services_.rollouts.saw_pace(record_.service, {}, record_.version,
-                                    (now - attempt_first_) /
-                                        static_cast<std::int64_t>(attempt_events_));
+                                    (now - attempt_first_event_at_) /
+                                        static_cast<std::int64_t>(attempt_event_count_));
     }
 }
 
-void exchange::note_run()
+void exchange::record_run_times()
 {
-    if (!request_.any_model || attempt_first_ == instant{} || !attempt_is_whole_) {
+    if (!request_.any_model || attempt_first_event_at_ == instant{} ||
+        !attempt_covers_whole_stream_) {
         return;
     }
-    const double reading = services_.balancer.reading_ms(job_now(), 0);
-    services_.models.times().saw(route_.name, model_now(), reading, attempt_first_ - attempt_began_,
-                                 services_.now() - attempt_first_);
+    const double prefill_ms = services_.balancer.reading_ms(current_job(), 0);
+    services_.models.times().saw(route_.name, current_model(), prefill_ms,
+                                 attempt_first_event_at_ - attempt_started_at_,
+                                 services_.now() - attempt_first_event_at_);
 }
 
-void exchange::deliver_held()
+void exchange::deliver_buffered()
 {
     head_.fields.remove_hop_by_hop();
     head_.fields.remove("Content-Length");
     const unsigned status = head_.status;
-    caller_.respond(std::move(head_), std::exchange(held_, {}));
+    caller_.respond(std::move(head_), std::exchange(buffered_body_, {}));
     finish(exchange_outcome::answered, status, {});
 }
 
 void exchange::on_fault(attempt_fault fault)
 {
     const bool sent = fault == attempt_fault::silent || fault == attempt_fault::broken;
-    const bool head_seen = stage_ != stage::waiting;
+    const bool head_seen = stage_ != stage::awaiting_head;
     if (sent) {
-        count_send();
+        count_sent_attempt();
         may_have_run_ = true;
     } else {
-        ++unsent_;
+        ++unsent_attempts_;
     }
     if (fault == attempt_fault::not_sent && services_.settings.probe_silent_backends) {
-        services_.liveness.saw_refusal(record_.backend);
+        services_.liveness.report_refused_connection(record_.backend);
     }
     const bool broke = fault == attempt_fault::broken || head_seen;
     if (fault == attempt_fault::no_room) {
--- a/modules/gateway/src/exchange_crashes.cpp
+++ b/modules/gateway/src/exchange_crashes.cpp
@@ -1,5 +1,5 @@
-/// Request lifecycle, part four: backend servers that end during an attempt, and requests that are
-/// known to crash them.
+/// Request lifecycle, part four: backend servers that crash during an attempt, and requests that
+/// are known to crash backend servers.
 
 #include "hickorypost/gateway/exchange.h"
 
@@ -9,12 +9,12 @@
 
 namespace {
 
-/// Callers do not repeat a request after this status.
+/// Callers do not retry a request after this status.
 constexpr unsigned status_bad_request = 400;
 
 } // namespace
 
-identity_parts exchange::parts() const
+identity_parts exchange::request_parts() const
 {
     return {record_.account, request_.host, request_.method, request_.target, request_.body};
 }
@@ -22,14 +22,14 @@
 const request_identity& exchange::identity()
 {
     if (!record_.identity) {
-        record_.identity = identity_of(parts());
+        record_.identity = identity_of(request_parts());
     }
     return *record_.identity;
 }
 
 crash_ledger::standing exchange::standing()
 {
-    if (services_.suspects.empty() || !services_.suspects.may_know(outline_of(parts()))) {
+    if (services_.suspects.empty() || !services_.suspects.may_know(outline_of(request_parts()))) {
         return crash_ledger::standing::unknown;
     }
     return services_.suspects.standing_of(identity());
@@ -37,20 +37,21 @@
 
 void exchange::attempt_broke(std::string_view why)
 {
-    // A further attempt waits until it is known whether this one's backend server has ended.
-    const bool waits = may_repeat();
+    // The next attempt waits until it is known whether the backend server of this one crashed, as a
+    // request that crashes backend servers must not be sent again.
+    const bool waits = is_retryable();
     crash_watch::result_fn proceed;
     if (waits) {
         proceed = [this, why](bool) {
-            crash_check_ = 0;
+            crash_check_id_ = 0;
             continue_after_break(why);
         };
     }
-    crash_check_ = services_.crashes.attempt_broke(
+    crash_check_id_ = services_.crashes.attempt_broke(
         target_, {record_.backend, record_.service, record_.id, identity(), crashes_before_},
         std::move(proceed));
     if (!waits) {
-        crash_check_ = 0;
+        crash_check_id_ = 0;
         continue_after_break(why);
     }
 }
@@ -63,16 +64,16 @@
     resume_or_retry(why);
 }
 
-void exchange::note_success()
+void exchange::clear_crash_suspicion()
 {
     if (detail::is_success(head_.status) && standing() != crash_ledger::standing::unknown) {
         services_.suspects.clear(identity());
     }
 }
 
-void exchange::refuse_as_crashing()
+void exchange::reject_as_crashing()
 {
-    constexpr std::string_view why = "crashes the backend servers that run it";
+    constexpr std::string_view why = "request crashes the backend servers that run it";
     if (stage_ == stage::relaying) {
         caller_.break_off();
         finish(exchange_outcome::broken_off, head_.status, why);
--- a/modules/gateway/src/exchange_limits.cpp
+++ b/modules/gateway/src/exchange_limits.cpp
@@ -1,4 +1,4 @@
-/// Request lifecycle, part five: backend servers that have named a limit.
+/// Request lifecycle, part five: backend servers that limit how many requests they accept.
 
 #include "hickorypost/gateway/exchange.h"
 
@@ -16,51 +16,53 @@
 {
     const instant now = services_.now();
     auto& limits = services_.limits;
-    limited_.clear();
-    const auto* const best = services_.balancer.choose(candidates, job, tried_, now);
+    limited_backends_.clear();
+    const auto* const best = services_.balancer.choose(candidates, job, tried_backends_, now);
     if (best == nullptr || limits.empty() || limits.has_room(best->record.id, priority())) {
         return best;
     }
     limits.request_permit(best->record.id, priority());
     std::erase_if(candidates, [&](const backend_entry* it) {
         const bool full = !limits.has_room(it->record.id, priority());
-        if (full && std::find(tried_.begin(), tried_.end(), it->record.id) == tried_.end()) {
-            limited_.push_back(it->record.id);
+        if (full && std::find(tried_backends_.begin(), tried_backends_.end(), it->record.id) ==
+                        tried_backends_.end()) {
+            limited_backends_.push_back(it->record.id);
         }
         return full;
     });
-    const auto* const other = services_.balancer.choose(candidates, job, tried_, now);
+    const auto* const other = services_.balancer.choose(candidates, job, tried_backends_, now);
     if (other == nullptr) {
         request_permits();
     } else {
-        limited_.clear();
+        limited_backends_.clear();
     }
     return other;
 }
 
 void exchange::request_permits()
 {
-    for (const auto& backend : limited_) {
+    for (const auto& backend : limited_backends_) {
         services_.limits.request_permit(backend, priority());
     }
 }
 
-bool exchange::room_for_another(std::string_view except)
+bool exchange::has_room_elsewhere(std::string_view except)
 {
     auto& limits = services_.limits;
     if (limits.empty()) {
         return true;
     }
-    limited_.clear();
+    limited_backends_.clear();
     for (const auto* const it : services_.directory.usable(record_.service, services_.now())) {
-        const bool tried = std::find(tried_.begin(), tried_.end(), it->record.id) != tried_.end();
+        const bool tried = std::find(tried_backends_.begin(), tried_backends_.end(),
+                                     it->record.id) != tried_backends_.end();
         if (tried || it->record.id == except) {
             continue;
         }
         if (limits.has_room(it->record.id, priority())) {
             return true;
         }
-        limited_.push_back(it->record.id);
+        limited_backends_.push_back(it->record.id);
     }
     request_permits();
     return false;
@@ -83,12 +85,12 @@
     return true;
 }
 
-void exchange::refuse_for_limits()
+void exchange::reject_for_limits()
 {
     services_.limits.note_rejection(priority());
-    record_.limited = static_cast<std::uint32_t>(limited_.size());
-    retry_after_ = services_.limits.room_in(limited_);
-    abort("all backend servers are at the limits that they have named");
+    record_.limited = static_cast<std::uint32_t>(limited_backends_.size());
+    retry_after_ = services_.limits.room_in(limited_backends_);
+    abort("all backend servers have reached their limits");
 }
 
 } // namespace hickorypost::gateway
--- a/modules/gateway/src/liveness_probe.cpp
+++ b/modules/gateway/src/liveness_probe.cpp
@@ -9,32 +9,33 @@
 /// A probe in flight, with its subscribers.
 class liveness_probe::probe final : public attempt_events {
 public:
-    probe(liveness_probe& of, const attempt_target& to) : of_{of}, backend_{to.backend}
+    probe(liveness_probe& owner, const attempt_target& to) : owner_{owner}, backend_{to.backend}
     {
-        const auto answered = of_.answered_.find(backend_);
-        const instant now = of_.now_();
-        if (answered != of_.answered_.end() &&
-            now < answered->second + of_.settings_.result_lifetime) {
+        const auto last_answer = owner_.last_answer_at_.find(backend_);
+        const instant now = owner_.now_();
+        if (last_answer != owner_.last_answer_at_.end() &&
+            now < last_answer->second + owner_.settings_.result_lifetime) {
             alive_ = true;
-            settle_in(millis{0});
+            finish_after(millis{0});
             return;
         }
-        settle_in(of_.settings_.probe_timeout);
-        sent_ = of_.backends_.start(to, of_.write_(to), {}, false, *this);
+        finish_after(owner_.settings_.probe_timeout);
+        attempt_ = owner_.backends_.start(to, owner_.write_probe_(to), {}, false, *this);
     }
-    ~probe() override { of_.timers_.cancel(timer_); }
+    ~probe() override { owner_.timers_.cancel(timer_); }
     probe(const probe&) = delete;
     probe& operator=(const probe&) = delete;
 
     bool on_head(http1::response_head&) override
     {
         alive_ = true;
-        of_.answered_[backend_] = of_.now_();
+        owner_.last_answer_at_[backend_] = owner_.now_();
         return true;
     }
     void on_body(std::string_view) override {}
     void on_complete() override { end(); }
-    /// A refused or reset connection ends the attempts there by itself.
+    /// Not reported as unresponsive: if connections are refused or reset, the attempts on this
+    /// backend server fail without a probe.
     void on_fault(attempt_fault) override { end(); }
 
     std::vector<subscriber> subscribers;
@@ -42,31 +43,31 @@
 private:
     void end()
     {
-        sent_.reset();
+        attempt_.reset();
         alive_ = true;
-        settle_in(millis{0});
+        finish_after(millis{0});
     }
-    /// Never synchronous, as the caller may be in a call of its own.
-    void settle_in(millis after)
+    /// Uses a timer even without a delay, so that `result` is never called from within `start`.
+    void finish_after(millis delay)
     {
-        of_.timers_.cancel(timer_);
-        timer_ = of_.timers_.add(of_.now_() + after, [this] {
+        owner_.timers_.cancel(timer_);
+        timer_ = owner_.timers_.add(owner_.now_() + delay, [this] {
             timer_ = 0;
-            of_.settle(backend_, alive_);
+            owner_.finish_probe(backend_, alive_);
         });
     }
 
-    liveness_probe& of_;
+    liveness_probe& owner_;
     std::string backend_;
-    std::unique_ptr<attempt> sent_;
+    std::unique_ptr<attempt> attempt_;
     std::uint64_t timer_ = 0;
     bool alive_ = false;
 };
 
 liveness_probe::liveness_probe(probe_settings settings, attempt_port& backends, scheduler& timers,
-                               clock_fn now, write_fn write, unresponsive_fn unresponsive)
+                               clock_fn now, write_fn write_probe, unresponsive_fn on_unresponsive)
     : settings_{settings}, backends_{backends}, timers_{timers}, now_{std::move(now)},
-      write_{std::move(write)}, unresponsive_{std::move(unresponsive)}
+      write_probe_{std::move(write_probe)}, on_unresponsive_{std::move(on_unresponsive)}
 {
 }
 
@@ -74,40 +75,40 @@
 
 std::uint64_t liveness_probe::start(const attempt_target& to, result_fn result)
 {
-    auto& it = open_[to.backend];
+    auto& it = probes_[to.backend];
     if (!it) {
         it = std::make_unique<probe>(*this, to);
     }
-    it->subscribers.emplace_back(++last_, std::move(result));
-    return last_;
+    it->subscribers.emplace_back(++last_id_, std::move(result));
+    return last_id_;
 }
 
-void liveness_probe::cancel(std::uint64_t which)
+void liveness_probe::cancel(std::uint64_t subscription)
 {
-    if (which == 0) {
+    if (subscription == 0) {
         return;
     }
-    const auto is_meant = [&](const auto& it) { return it.first == which; };
-    for (auto& [backend, it] : open_) {
-        std::erase_if(it->subscribers, is_meant);
+    const auto matches = [&](const auto& it) { return it.first == subscription; };
+    for (auto& [backend, it] : probes_) {
+        std::erase_if(it->subscribers, matches);
     }
-    std::erase_if(settling_, is_meant);
+    std::erase_if(notifying_, matches);
 }
 
-void liveness_probe::settle(const std::string& backend, bool alive)
+void liveness_probe::finish_probe(const std::string& backend, bool alive)
 {
-    // Removed first: a subscriber may start another probe or cancel others.
-    const auto node = open_.extract(backend);
+    // The probe is removed first, as a subscriber may start another probe or cancel others.
+    const auto node = probes_.extract(backend);
     std::move(node.mapped()->subscribers.begin(), node.mapped()->subscribers.end(),
-              std::back_inserter(settling_));
-    std::erase_if(answered_,
+              std::back_inserter(notifying_));
+    std::erase_if(last_answer_at_,
                   [&](const auto& it) { return now_() > it.second + settings_.result_lifetime; });
     if (!alive) {
-        unresponsive_(node.key());
+        on_unresponsive_(node.key());
     }
-    while (!settling_.empty()) {
-        const auto result = std::move(settling_.front().second);
-        settling_.erase(settling_.begin());
+    while (!notifying_.empty()) {
+        const auto result = std::move(notifying_.front().second);
+        notifying_.erase(notifying_.begin());
         result(alive);
     }
 }
--- a/modules/gateway/tests/exchange_crashes_test.cpp
+++ b/modules/gateway/tests/exchange_crashes_test.cpp
@@ -7,13 +7,13 @@
 using namespace hickorypost;
 using namespace hickorypost::testing;
 
-/// Each attempt ends its backend server.
+/// Each backend server has crashed when its connection is checked.
 void crash_all(one_gateway& it)
 {
     it.dials.ended = {"b1", "b2", "b3", "b4", "b5"};
 }
 
-void crash_under(one_gateway& it, std::size_t attempts)
+void crash_attempts(one_gateway& it, std::size_t attempts)
 {
     for (std::size_t n = 0; n < attempts; ++n) {
         it.timers.run_for(millis{100});
@@ -25,14 +25,14 @@
 
 BOOST_AUTO_TEST_SUITE(exchange_crashes)
 
-// Guards against attempts of a request after it is known to crash what runs it, in any attempt of
-// its caller.
-BOOST_AUTO_TEST_CASE(request_known_to_crash_is_refused_for_good_and_not_sent)
+// Guards against sending a request that is known to crash backend servers, also when its caller
+// retries it.
+BOOST_AUTO_TEST_CASE(request_known_to_crash_is_rejected_and_not_sent)
 {
     one_gateway it;
     crash_all(it);
     it.ask(as_is);
-    crash_under(it, 3);
+    crash_attempts(it, 3);
     BOOST_TEST(it.backends.attempts.size() == 3U);
     BOOST_TEST(it.caller.status == 502U);
     it.ask(as_is);
@@ -44,7 +44,8 @@
     BOOST_TEST(it.records.back().identity.has_value());
 }
 
-// Guards against an attempt that goes on before it is known whether the last one crashed.
+// Guards against an attempt that starts before it is known whether the previous one crashed its
+// backend server.
 BOOST_AUTO_TEST_CASE(further_attempt_waits_until_the_crash_is_known)
 {
     one_gateway it;
@@ -57,7 +58,7 @@
     BOOST_TEST(it.suspects.empty());
 }
 
-// Guards against a result for a request whose time has passed meanwhile.
+// Guards against continuing a request whose deadline passes during the crash check.
 BOOST_AUTO_TEST_CASE(deadline_passes_while_the_crash_is_checked)
 {
     one_gateway it;
@@ -70,13 +71,13 @@
     BOOST_TEST(it.records.size() == 1U);
 }
 
-// Guards against blame for requests that succeed at another backend server.
+// Guards against suspecting a request that succeeds on another backend server.
 BOOST_AUTO_TEST_CASE(success_after_a_crash_clears_the_request)
 {
     one_gateway it;
     it.dials.ended = {"b1", "b2", "b3"};
     it.ask(as_is);
-    crash_under(it, 1);
+    crash_attempts(it, 1);
     BOOST_TEST(!it.suspects.suspects().empty());
     it.answer(200, "fine");
     it.complete();
@@ -84,8 +85,9 @@
     BOOST_TEST(it.suspects.suspects().empty());
 }
 
-// Guards against answering as refused what has run: only a request that may be repeated is.
-BOOST_AUTO_TEST_CASE(request_that_may_run_once_fails_at_once)
+// A non-idempotent request has no further attempt, so it does not wait for the crash check. Guards
+// against a status that says that it did not run.
+BOOST_AUTO_TEST_CASE(unsafe_request_fails_without_waiting_for_the_crash_check)
 {
     one_gateway it;
     it.dials.unanswered = true;
@@ -95,7 +97,8 @@
     it.dials.unanswered = false;
 }
 
-// Guards against streams that are broken off without an end, or resumed at yet another backend.
+// Guards against a stream that is left open, or resumed on yet another backend server, after its
+// request is known to crash backend servers.
 BOOST_AUTO_TEST_CASE(stream_known_to_crash_is_broken_off)
 {
     one_gateway it;
@@ -107,13 +110,13 @@
         route.max_attempts = 5;
     });
     it.answer(200, event(0));
-    crash_under(it, 3);
+    crash_attempts(it, 3);
     BOOST_TEST(it.caller.broken);
     BOOST_TEST(it.backends.attempts.size() == 3U);
 }
 
-// Guards against blame for attempts that this side has ended.
-BOOST_AUTO_TEST_CASE(deadline_and_departure_of_the_caller_are_no_crash)
+// Guards against counting a crash for an attempt that the gateway itself cancelled.
+BOOST_AUTO_TEST_CASE(cancelled_attempts_are_not_counted_as_crashes)
 {
     one_gateway it;
     crash_all(it);
--- a/modules/gateway/tests/exchange_limits_test.cpp
+++ b/modules/gateway/tests/exchange_limits_test.cpp
@@ -18,8 +18,8 @@
 
 BOOST_AUTO_TEST_SUITE(exchange_limits)
 
-// Guards against a limited backend server that is preferred, as little runs there.
-BOOST_AUTO_TEST_CASE(backends_with_room_take_what_a_limited_one_does_not)
+// Guards against preferring limited backend servers because they have little load.
+BOOST_AUTO_TEST_CASE(backend_with_room_is_chosen_over_limited_ones)
 {
     one_gateway it;
     limit(it, {"b1", "b2"});
@@ -30,7 +30,7 @@
     BOOST_TEST(it.permits_requested > 0U);
 }
 
-// Guards against permits that are not used.
+// Guards against a permit that is not used, or used by two requests.
 BOOST_AUTO_TEST_CASE(permit_is_used_once)
 {
     one_gateway it;
@@ -42,7 +42,7 @@
     BOOST_TEST(it.backends.attempts.size() == 1U);
 }
 
-// Guards against a rejection while a permit request is in flight.
+// Guards against rejecting a request while its permit request is in flight.
 BOOST_AUTO_TEST_CASE(request_waits_for_the_reply_to_its_permit_request)
 {
     one_gateway it;
@@ -55,8 +55,8 @@
     BOOST_TEST(it.backends.attempts.size() == 1U);
 }
 
-// Guards against requests that wait for their deadline where no backend server has room.
-BOOST_AUTO_TEST_CASE(request_without_room_is_rejected_at_once_with_the_time_to_come_back)
+// Guards against requests that wait until their deadline although no backend server has room.
+BOOST_AUTO_TEST_CASE(request_without_room_is_rejected_early_with_retry_after)
 {
     one_gateway it;
     limit(it, {"b1", "b2", "b3"});
@@ -72,21 +72,22 @@
     BOOST_TEST(it.backends.attempts.empty());
 }
 
-// Guards against dropping an answer for a larger model that no backend server has room to run.
-BOOST_AUTO_TEST_CASE(answer_at_hand_is_kept_where_a_larger_model_has_no_room)
+// Guards against dropping an answer to use a larger model if no backend server has room for a
+// second attempt.
+BOOST_AUTO_TEST_CASE(answer_is_kept_if_no_backend_has_room_for_a_larger_model)
 {
     one_gateway it;
     it.ask([](route_spec& route) { route.models = {"small", "large"}; });
     limit(it, {"b1", "b2", "b3"});
-    it.named = {limit_statement::kind_type::named, 2};
+    it.limit_in_answers = {limit_statement::kind_type::named, 2};
     it.answer(200, "fine", true, 0.1);
     it.complete();
     BOOST_TEST(it.backends.attempts.size() == 1U);
     BOOST_TEST(it.caller.status == 200U);
 }
 
-// Guards against giving up a silent attempt where no other backend server has room.
-BOOST_AUTO_TEST_CASE(silent_attempt_is_kept_where_no_other_backend_has_room)
+// Guards against cancelling a silent attempt if no other backend server has room.
+BOOST_AUTO_TEST_CASE(silent_attempt_is_kept_if_no_other_backend_has_room)
 {
     one_gateway it;
     it.ask(as_is);
@@ -104,7 +105,7 @@
     BOOST_TEST(it.caller.status == 200U);
 }
 
-// Guards against probes that count as requests under the limit.
+// Guards against probing a limited backend server, as probes count against its limit.
 BOOST_AUTO_TEST_CASE(limited_backend_is_not_probed)
 {
     one_gateway it;
@@ -112,7 +113,7 @@
         as_stream(route);
         route.target_latency = millis{3000};
     });
-    it.named = {limit_statement::kind_type::named, 2};
+    it.limit_in_answers = {limit_statement::kind_type::named, 2};
     it.answer(200, event(0));
     it.timers.run_for(millis{900});
     BOOST_TEST(it.probes.attempts.empty());
--- a/modules/gateway/tests/exchange_silence_test.cpp
+++ b/modules/gateway/tests/exchange_silence_test.cpp
@@ -1,4 +1,4 @@
-/// Backend servers that fall silent or refuse connections while a request waits for them.
+/// Backend servers that stop responding or refuse connections while a request waits for them.
 
 #include "one_gateway.h"
 
@@ -10,7 +10,7 @@
 using namespace hickorypost::gateway;
 using namespace hickorypost::testing;
 
-/// A service of engines: silent ones are asked for a sign of life.
+/// Makes the service one of engines, which are probed when they stop responding.
 void on_engines(one_gateway& it)
 {
     site_config config = it.table->config();
@@ -18,7 +18,7 @@
     it.table = std::make_shared<const route_table>(config);
 }
 
-/// A stream that may pause for 1.5 s has had its first event from an engine.
+/// Starts a stream on an engine, with a target gap of 1.5 s, and delivers its first event.
 void begin_stream_on_engine(one_gateway& it)
 {
     on_engines(it);
@@ -33,9 +33,9 @@
 
 BOOST_AUTO_TEST_SUITE(gateway_exchange)
 
-// The route's time is shorter than the usual patience with a silent backend server. Half of it is
-// enough to wait for the first.
-BOOST_AUTO_TEST_CASE(a_silent_backend_server_leaves_time_for_another)
+// The route's timeout is shorter than the usual silence limit. The first attempt gets only half of
+// it, so that a second one can follow.
+BOOST_AUTO_TEST_CASE(failover_leaves_time_for_another_attempt)
 {
     one_gateway it;
     it.ask([](route_spec& route) { route.timeout = millis{400}; });
@@ -46,8 +46,8 @@
     BOOST_TEST(it.caller.body == "good");
 }
 
-// One backend server hangs while an idempotent request waits for it. Another one gets it in time.
-BOOST_AUTO_TEST_CASE(a_silent_backend_server_is_left)
+// A backend server hangs. An idempotent request is sent to another one before its deadline.
+BOOST_AUTO_TEST_CASE(idempotent_request_fails_over_from_a_silent_backend)
 {
     one_gateway it;
     it.ask(as_is);
@@ -59,10 +59,11 @@
     BOOST_TEST(it.caller.body == "good");
 }
 
-// The small model's answer would not do, and the large one streams, in the second of three attempts
-// that the route allows, when its backend server falls silent. One attempt is left: the stream goes
-// on elsewhere after the usual patience, not only once the connection is given up.
-BOOST_AUTO_TEST_CASE(a_silent_stream_is_resumed_on_the_last_attempt_that_is_left)
+// The small model's confidence is too low, and the large model streams in the second of three
+// allowed attempts when its backend server stops responding. Guards against an attempt count that
+// is one too high: the third attempt must resume the stream after the usual silence limit, without
+// waiting until the connection is lost.
+BOOST_AUTO_TEST_CASE(silent_stream_is_resumed_with_the_last_attempt)
 {
     one_gateway it;
     it.ask([](route_spec& route) {
@@ -77,28 +78,28 @@
     BOOST_TEST(it.backends.last().head == "model=large after=0");
 }
 
-// An engine goes dark in the middle of a stream. After a third of the longest pause it is asked for
-// a sign of life, gives none, and the stream goes on elsewhere before that pause is over. Others
-// hear of the engine.
-BOOST_AUTO_TEST_CASE(a_stream_leaves_an_engine_that_gives_no_sign_of_life)
+// An engine hangs in the middle of a stream. It is probed after a third of the longest allowed
+// pause and does not answer. The stream is resumed on another engine before that pause is over, and
+// the engine is reported as unresponsive.
+BOOST_AUTO_TEST_CASE(stream_fails_over_after_a_failed_probe)
 {
     one_gateway it;
     begin_stream_on_engine(it);
-    const std::string dark = it.backends.last().target.backend;
+    const std::string hung = it.backends.last().target.backend;
     it.timers.run_for(millis{500});
     BOOST_TEST(it.probes.attempts.empty());
     it.timers.run_for(millis{400});
     BOOST_REQUIRE(it.probes.attempts.size() == 1U);
-    BOOST_TEST(it.probes.last().target.backend == dark);
+    BOOST_TEST(it.probes.last().target.backend == hung);
     BOOST_REQUIRE(it.backends.attempts.size() == 2U);
     BOOST_TEST(it.backends.last().head == "model= after=0");
-    BOOST_REQUIRE(it.found_silent.size() == 1U);
-    BOOST_TEST(it.found_silent.front() == dark);
+    BOOST_REQUIRE(it.found_unresponsive.size() == 1U);
+    BOOST_TEST(it.found_unresponsive.front() == hung);
 }
 
-// The engine reads a long prompt: its streams pause, and it answers the question. The stream stays,
-// and is left only after the usual patience.
-BOOST_AUTO_TEST_CASE(a_stream_stays_with_an_engine_that_gives_a_sign_of_life)
+// An engine's streams pause while it prefills a long prompt, but it answers the probe. The stream
+// stays there, as the usual silence limit has not been reached.
+BOOST_AUTO_TEST_CASE(stream_stays_after_a_successful_probe)
 {
     one_gateway it;
     begin_stream_on_engine(it);
@@ -109,14 +110,14 @@
     it.probes.last().events->on_complete();
     it.timers.run_for(millis{1200});
     BOOST_TEST(it.backends.attempts.size() == 1U);
-    BOOST_TEST(it.found_silent.empty());
+    BOOST_TEST(it.found_unresponsive.empty());
     it.answer(200, event(1));
     BOOST_TEST(it.caller.body == event(0) + event(1));
 }
 
-// Requests of which no second run is allowed wait for their answer however silent it is there, and
-// nobody asks. A question whose connection is refused is no word of silence.
-BOOST_AUTO_TEST_CASE(only_silence_of_an_engine_that_can_be_left_is_doubted)
+// A request that may not run twice waits for its answer, and its engine is not probed. An engine to
+// which a probe cannot be sent is not reported as unresponsive.
+BOOST_AUTO_TEST_CASE(only_retryable_requests_probe_and_a_failed_connection_is_not_silence)
 {
     one_gateway it;
     on_engines(it);
@@ -128,13 +129,13 @@
     BOOST_REQUIRE(it.probes.attempts.size() == 1U);
     it.probes.last().events->on_fault(attempt_fault::not_sent);
     it.timers.run_for(millis{300});
-    BOOST_TEST(it.found_silent.empty());
+    BOOST_TEST(it.found_unresponsive.empty());
 }
 
-// Six of nine backend servers have crashed and refuse connections. They have no work, so they look
-// best, and the request meets them one after the other. It reaches a sound one all the same, and
-// all hosts hear of each that nobody listens at.
-BOOST_AUTO_TEST_CASE(a_request_gets_past_many_crashed_backend_servers)
+// Six of nine backend servers have crashed and refuse connections. They have no load, so they are
+// chosen first, one after the other. The request still reaches a healthy one, and each crashed one
+// is reported as unresponsive.
+BOOST_AUTO_TEST_CASE(request_reaches_a_healthy_backend_past_many_crashed_ones)
 {
     one_gateway it;
     for (const auto* id : {"b4", "b5", "b6", "b7", "b8", "b9"}) {
@@ -148,12 +149,12 @@
     it.answer(200, "good");
     it.complete();
     BOOST_TEST(it.caller.body == "good");
-    BOOST_TEST(it.found_silent.size() == 6U);
+    BOOST_TEST(it.found_unresponsive.size() == 6U);
 }
 
-// Other hosts have a long prompt on the engine, which reads it for two seconds. That its streams
-// stand still meanwhile says nothing of it: nobody asks.
-BOOST_AUTO_TEST_CASE(silence_of_an_engine_that_reads_is_not_doubted)
+// Another host has sent the engine a prompt with a prefill time of two seconds. The streams are
+// expected to pause meanwhile, so the engine is not probed.
+BOOST_AUTO_TEST_CASE(engine_is_not_probed_during_expected_prefill)
 {
     one_gateway it;
     on_engines(it);
--- a/modules/gateway/tests/exchange_test.cpp
+++ b/modules/gateway/tests/exchange_test.cpp
@@ -1,4 +1,4 @@
-/// A request's way: choice, attempts, repeats, relay and refusals.
+/// Request lifecycle: attempts, retries, relay of answers, deadlines and errors.
 
 #include "one_gateway.h"
 
@@ -14,7 +14,7 @@
 
 BOOST_AUTO_TEST_SUITE(gateway_exchange)
 
-BOOST_AUTO_TEST_CASE(a_whole_answer_reaches_the_caller)
+BOOST_AUTO_TEST_CASE(complete_answer_reaches_the_caller)
 {
     one_gateway it;
     it.ask(as_is);
@@ -26,9 +26,9 @@
     BOOST_TEST((it.records.back().outcome == exchange_outcome::answered));
 }
 
-// The backend server breaks off in the middle of an answer to an idempotent request. The caller
-// sees only the second one's whole answer, nothing of the first.
-BOOST_AUTO_TEST_CASE(a_broken_plain_answer_is_asked_for_again)
+// Guards against delivering a part of a truncated answer: the request is idempotent and is retried,
+// and the caller gets only the complete answer of the second backend server.
+BOOST_AUTO_TEST_CASE(request_is_retried_after_a_truncated_plain_answer)
 {
     one_gateway it;
     it.ask(as_is);
@@ -41,9 +41,9 @@
     BOOST_TEST(it.caller.body == "good");
 }
 
-// A request that may run once was sent, and its connection dies. It may have run: no second
-// attempt, and the answer must not promise that it has not run.
-BOOST_AUTO_TEST_CASE(an_unsafe_request_is_never_sent_again_after_silence)
+// Guards against running a non-idempotent request twice. It may have run when its connection is
+// lost, so there is no second attempt, and the status must not promise that it did not run.
+BOOST_AUTO_TEST_CASE(unsafe_request_is_not_retried_after_a_lost_connection)
 {
     one_gateway it;
     it.ask(as_unsafe);
@@ -53,8 +53,9 @@
     BOOST_TEST(!it.caller.retry_after);
 }
 
-// No byte of it left, or the backend server says that it did not run: another one may have it.
-BOOST_AUTO_TEST_CASE(an_unsafe_request_that_did_not_run_goes_elsewhere)
+// A non-idempotent request may be sent to another backend server if no byte of it was sent, or if
+// the first backend server answered that it did not run.
+BOOST_AUTO_TEST_CASE(unsafe_request_that_did_not_run_is_retried)
 {
     one_gateway it;
     it.ask(as_unsafe);
@@ -67,7 +68,7 @@
     BOOST_TEST(it.caller.status == 200U);
 }
 
-BOOST_AUTO_TEST_CASE(a_request_that_all_refuse_is_told_when_to_come_back)
+BOOST_AUTO_TEST_CASE(request_refused_by_all_backends_gets_retry_after)
 {
     one_gateway it;
     it.ask(as_unsafe);
@@ -79,7 +80,7 @@
     BOOST_TEST((it.records.back().outcome == exchange_outcome::not_run));
 }
 
-BOOST_AUTO_TEST_CASE(no_more_backend_servers_are_tried_than_the_route_allows)
+BOOST_AUTO_TEST_CASE(attempts_stop_at_the_limit_of_the_route)
 {
     one_gateway it;
     it.ask([](route_spec& route) { route.max_attempts = 2; });
@@ -92,7 +93,7 @@
     BOOST_TEST(it.caller.body == "bad2");
 }
 
-BOOST_AUTO_TEST_CASE(a_success_without_a_signature_is_none)
+BOOST_AUTO_TEST_CASE(success_without_a_signature_is_not_delivered)
 {
     one_gateway it;
     it.ask(as_unsafe);
@@ -103,7 +104,7 @@
     BOOST_TEST(it.caller.status == 502U);
 }
 
-BOOST_AUTO_TEST_CASE(an_answer_to_another_request_is_skipped)
+BOOST_AUTO_TEST_CASE(answer_to_another_request_is_skipped)
 {
     one_gateway it;
     it.ask(as_unsafe);
@@ -116,9 +117,9 @@
     BOOST_TEST(it.caller.body == "good");
 }
 
-// A stream breaks off within an event. The next backend server goes on after the last whole event;
-// the caller's events are whole and follow each other.
-BOOST_AUTO_TEST_CASE(a_stream_goes_on_after_its_last_whole_event)
+// Guards against lost, duplicated or partial events when a stream breaks off inside an event: the
+// next backend server resumes after the last complete event.
+BOOST_AUTO_TEST_CASE(stream_resumes_after_its_last_complete_event)
 {
     one_gateway it;
     it.ask(as_stream);
@@ -132,8 +133,8 @@
     BOOST_TEST(it.caller.ended);
 }
 
-// A piece is missing in what the second run sends. The stream must not end as if it were whole.
-BOOST_AUTO_TEST_CASE(a_stream_with_a_piece_missing_ends_visibly_broken)
+// Guards against a stream that ends as if it were complete although an event is missing.
+BOOST_AUTO_TEST_CASE(stream_with_a_missing_event_is_broken_off)
 {
     one_gateway it;
     it.ask([](route_spec& route) {
@@ -147,7 +148,7 @@
     BOOST_TEST(it.caller.body.find("id: 2") == std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(a_stream_that_may_not_be_resumed_is_broken_off)
+BOOST_AUTO_TEST_CASE(stream_that_is_not_resumable_is_broken_off)
 {
     one_gateway it;
     it.ask([](route_spec& route) {
@@ -160,9 +161,9 @@
     BOOST_TEST(it.backends.attempts.size() == 1U);
 }
 
-// The backend server says nothing. At the deadline the caller has its answer, and the attempt is
-// gone.
-BOOST_AUTO_TEST_CASE(the_deadline_is_answered_on_time)
+// The backend server does not answer. The caller gets an error before its timeout, and the attempt
+// is cancelled.
+BOOST_AUTO_TEST_CASE(request_times_out_before_its_caller_gives_up)
 {
     one_gateway it;
     it.ask(as_unsafe, millis{1000});
@@ -173,7 +174,7 @@
     BOOST_TEST(it.backends.last().cancelled);
 }
 
-BOOST_AUTO_TEST_CASE(the_routes_timeout_goes_before_a_longer_wait)
+BOOST_AUTO_TEST_CASE(shorter_timeout_of_the_route_applies)
 {
     one_gateway it;
     it.ask([](route_spec& route) {
@@ -184,19 +185,19 @@
     BOOST_TEST(it.caller.status == 504U);
 }
 
-BOOST_AUTO_TEST_CASE(a_caller_that_leaves_cancels_its_attempt)
+BOOST_AUTO_TEST_CASE(attempt_is_cancelled_when_the_caller_leaves)
 {
     one_gateway it;
     it.ask(as_stream);
     it.answer(200, event(0));
-    it.way->caller_left();
+    it.current->caller_left();
     BOOST_TEST(it.backends.last().cancelled);
     BOOST_TEST((it.records.back().outcome == exchange_outcome::caller_left));
 }
 
-// A process has just started and knows no backend server. A request waits for the first heartbeat
-// instead of being turned away; if none comes it hears when to come back.
-BOOST_AUTO_TEST_CASE(a_request_waits_for_the_first_backend_server)
+// A process that has just started knows no backend server. A request waits for the first heartbeat
+// instead of being rejected; if none arrives, it is rejected with Retry-After.
+BOOST_AUTO_TEST_CASE(request_waits_for_the_first_backend_server)
 {
     one_gateway it;
     for (const auto* id : {"b1", "b2", "b3"}) {
@@ -215,9 +216,9 @@
     BOOST_TEST(it.caller.retry_after);
 }
 
-// The smallest model answers and is not sure of it. Nothing of that answer has reached the caller,
-// so the largest is asked and its answer is the one delivered.
-BOOST_AUTO_TEST_CASE(an_unsure_answer_is_asked_for_of_a_larger_model)
+// The smallest model answers with a low confidence. Nothing of that answer has been delivered, so
+// the request is sent to the largest model, and the caller gets that answer only.
+BOOST_AUTO_TEST_CASE(low_confidence_escalates_to_a_larger_model)
 {
     one_gateway it;
     it.ask([](route_spec& route) {
@@ -234,9 +235,9 @@
     BOOST_TEST(it.caller.body == event(0));
 }
 
-// All connections that this process may have to a backend server are taken. The request goes
-// elsewhere and uses up no try; the backend server is not taken for unreachable.
-BOOST_AUTO_TEST_CASE(a_full_connection_limit_sends_a_request_elsewhere)
+// Guards against counting an attempt when this process has no free connection to the backend
+// server: nothing was sent, and the request goes to another one.
+BOOST_AUTO_TEST_CASE(full_connection_limit_uses_up_no_attempt)
 {
     one_gateway it;
     it.ask([](route_spec& route) {
@@ -250,9 +251,9 @@
     BOOST_TEST(it.caller.status == 200U);
 }
 
-// Three addresses in a row were taken over by other incarnations. None of the three has seen the
-// request, so it may still go to the one that is really there.
-BOOST_AUTO_TEST_CASE(addresses_taken_over_use_up_no_tries)
+// Other incarnations have taken over the addresses of three backend servers. None of the three ran
+// the request, so it may still be sent to the fourth.
+BOOST_AUTO_TEST_CASE(reused_addresses_use_up_no_attempts)
 {
     one_gateway it;
     it.add_backend("b4");
--- a/modules/gateway/tests/fakes.h
+++ b/modules/gateway/tests/fakes.h
@@ -1,6 +1,6 @@
 #pragma once
-/// Fakes at the ports of a request's way: virtual time, backend servers by script, a caller that
-/// remembers what it got.
+/// Fakes of the interfaces that an exchange uses: timers with virtual time, backend servers that
+/// the test controls, and a caller that records its answer.
 
 #include "hickorypost/gateway/exchange.h"
 
@@ -9,7 +9,7 @@
 
 namespace hickorypost::testing {
 
-/// Virtual time with timers.
+/// Timers that run in virtual time.
 class fake_scheduler final : public gateway::scheduler {
 public:
     std::uint64_t add(instant due, std::function<void()> hook) override
@@ -21,6 +21,7 @@
     {
         std::erase_if(timers_, [&](const auto& it) { return it.second.first == which; });
     }
+    /// Advances the time and runs the timers that become due.
     void run_for(millis time)
     {
         const instant end = now + time;
@@ -38,7 +39,7 @@
     std::uint64_t last_ = 0;
 };
 
-/// Attempts under way, for the test to answer.
+/// Records attempts; the test answers them through their `events`.
 class fake_backends final : public gateway::attempt_port {
 public:
     struct open_attempt {
@@ -75,7 +76,8 @@
     };
 };
 
-/// Backend servers that refuse connections, at once.
+/// Connection attempts: refused for the backend servers in `ended`, accepted for others, and never
+/// finished while `unanswered` is set.
 struct fake_dials {
     std::unique_ptr<gateway::dial> open(const gateway::attempt_target& to,
                                         const std::function<void(bool)>& done)
@@ -93,7 +95,7 @@
     bool unanswered = false;
 };
 
-/// What a caller got.
+/// Records the answer that a caller gets.
 class fake_caller final : public gateway::caller_port {
 public:
     void respond(http1::response_head head, std::string text) override
--- a/modules/gateway/tests/one_gateway.h
+++ b/modules/gateway/tests/one_gateway.h
@@ -1,5 +1,5 @@
 #pragma once
-/// A gateway process as a request sees it, with fakes at all ports, and routes of each kind.
+/// Fixture with the components of a gateway process that an exchange uses, and fakes for the rest.
 
 #include "fakes.h"
 
@@ -12,7 +12,8 @@
 
 using namespace gateway;
 
-/// One gateway process with fakes around it.
+/// The components of one gateway process, with three ready backend servers and one route, on which
+/// requests are idempotent.
 struct one_gateway {
     one_gateway()
     {
@@ -41,7 +42,7 @@
                        timers.now);
     }
 
-    /// A request on a route changed by `change`.
+    /// Starts a request on the route after `change` has been applied to it.
     exchange& ask(const std::function<void(route_spec&)>& change, millis wait = millis{4000})
     {
         asked_route = table->config().routes.front();
@@ -53,12 +54,14 @@
         request.wait = wait;
         request.any_model = !asked_route.models.empty();
         request.arrived = timers.now;
-        way = std::make_unique<exchange>(services, caller, std::move(request), table, asked_route,
-                                         nullptr);
-        way->start();
-        return *way;
+        current = std::make_unique<exchange>(services, caller, std::move(request), table,
+                                             asked_route, nullptr);
+        current->start();
+        return *current;
     }
 
+    /// Answers the last attempt with a head and, if the exchange keeps the attempt, a part of the
+    /// body.
     void answer(unsigned status, const std::string& body, bool ran = true, double confidence = 1)
     {
         auto* const events = backends.last().events;
@@ -77,7 +80,8 @@
     }
 
     void complete() { backends.last().events->on_complete(); }
-    /// Until the attempt that follows has begun, or the last answer has been given.
+    /// Fails the last attempt and runs the timers that are due, so that the next attempt has
+    /// started, or the caller has its answer.
     void fault(attempt_fault how)
     {
         backends.last().events->on_fault(how);
@@ -87,13 +91,13 @@
     fake_scheduler timers;
     fake_backends backends;
     fake_backends probes;
-    std::vector<std::string> found_silent;
+    std::vector<std::string> found_unresponsive;
     liveness_probe liveness{{},
                             probes,
                             timers,
                             [this] { return timers.now; },
                             [](const attempt_target&) { return std::string{"alive?"}; },
-                            [this](const std::string& it) { found_silent.push_back(it); }};
+                            [this](const std::string& it) { found_unresponsive.push_back(it); }};
     fake_dials dials{timers};
     crash_ledger suspects{{}, [this] { return timers.now; }, [](const crash_fact&) {}};
     std::vector<crashed_attempt> crashed;
@@ -111,7 +115,7 @@
     std::vector<limit_change> limit_changes;
     std::size_t unreadable_limits = 0;
     std::size_t permits_requested = 0;
-    limit_statement named; ///< by each answer
+    limit_statement limit_in_answers; ///< that each answer states
     backend_limits limits{{},
                           [this] { return timers.now; },
                           [] { return std::size_t{4}; },
@@ -151,7 +155,7 @@
         },
         [this](const http1::response_head& head) {
             backend_answer out;
-            out.limit = named;
+            out.limit = limit_in_answers;
             out.status = head.status;
             out.ran = head.fields.find("X-Ran") != "0";
             out.wrong_backend = head.status == 421;
@@ -162,7 +166,7 @@
         },
         [this](const exchange_record& it) { records.push_back(it); },
         [](const exchange_record&, std::string_view, std::string_view) {}};
-    std::unique_ptr<exchange> way;
+    std::unique_ptr<exchange> current;
 };
 
 inline void as_is(route_spec&) {}
@@ -179,7 +183,7 @@
     it.target_gap = millis{500};
 }
 
-/// One event of a stream.
+/// An event of a stream, as sent.
 inline std::string event(int id)
 {
     return "id: " + std::to_string(id) + "\ndata: x\n\n";
