--- a/modules/gateway/include/hickorypost/gateway/run_times.h
+++ b/modules/gateway/include/hickorypost/gateway/run_times.h
@@ -60,11 +60,11 @@
     /// An exponentially weighted linear regression: sums over the runs, and the mean absolute
     /// deviation from the fitted line.
     struct regression {
-        double n = 0;
-        double x = 0;
-        double y = 0;
-        double xx = 0;
-        double xy = 0;
+        double n = 0;  ///< sum of weights
+        double x = 0;  ///< sum of prefill times
+        double y = 0;  ///< sum of times until the first event
+        double xx = 0; ///< sum of squared prefill times
+        double xy = 0; ///< sum of products of both times
         double deviation = 0;
         std::uint64_t last_run = 0; ///< value of `runs_` at the newest run
 
--- a/modules/gateway/tests/exchange_test.cpp
+++ b/modules/gateway/tests/exchange_test.cpp
@@ -236,7 +236,8 @@
 }
 
 // Guards against counting an attempt when this process has no free connection to the backend
-// server: nothing was sent, and the request goes to another one.
+// server: nothing was sent, the request goes to another one, and the backend server is not treated
+// as unreachable.
 BOOST_AUTO_TEST_CASE(full_connection_limit_uses_up_no_attempt)
 {
     one_gateway it;
