--- a/modules/gateway/include/hickorypost/gateway/exchange.h
+++ b/modules/gateway/include/hickorypost/gateway/exchange.h
@@ -33,11 +33,11 @@
     /// A request waits this long for the first backend server, but at most half of the time until
     /// its deadline.
     millis backend_wait{1300};
-    millis backend_poll{50}; ///< interval at which such a request looks for backend servers
+    millis backend_poll{50}; ///< interval of looking for a backend server
     /// Where all backend servers are limited, a request waits this long for a permit: the time that
     /// the host that grants permits takes to reply.
     millis permit_wait{45};
-    millis permit_poll{15}; ///< interval at which such a request looks for a permit
+    millis permit_poll{15}; ///< interval of looking for a permit
     /// Time without an event after which a resumable stream fails over, as a multiple of the
     /// route's target for the first event or the gap between events.
     double silence_factor = 2.0;
--- a/modules/gateway/include/hickorypost/gateway/run_times.h
+++ b/modules/gateway/include/hickorypost/gateway/run_times.h
@@ -20,8 +20,8 @@
     double deviations = 2;
     /// Number of runs that the prior estimate of a model's time until the first event counts as.
     double prior_runs = 4;
-    /// The prior estimate is that the first event comes after the prefill time: half of the prior
-    /// runs are at 0 and half at this prefill time, in milliseconds.
+    /// The prior estimate is that the time until the first event equals the prefill time: half of
+    /// the prior runs are at 0 and half at this prefill time, in milliseconds.
     double prior_span_ms = 1000;
 };
 
