--- a/bench/balancer_bench.cpp
+++ b/bench/balancer_bench.cpp
@@ -46,14 +46,14 @@
             for (std::size_t p = 0; p < processes; ++p) {
                 const auto& backend = it.all[(n + p) % it.all.size()]->record.id;
                 table.set("p" + std::to_string(p), backend, {3, 20});
-                balancer.set_others(backend, table.without("self", backend));
+                balancer.set_remote_load(backend, table.without("self", backend));
             }
         }
         job.parts = {{n % 90, 5000}, {1000 + n, 1000}};
         const auto* const to =
             by_cost ? balancer.choose(it.all, job, {}, now) : it.all[random() % it.all.size()];
         auto ticket = balancer.started(*to, job, now);
-        balancer.first_answer(ticket, now);
+        balancer.on_first_event(ticket, now);
         balancer.ended(ticket, attempt_result::answered, now);
     }
     const std::chrono::duration<double, std::micro> took = std::chrono::steady_clock::now() - began;
--- a/modules/gateway/include/hickorypost/gateway/load_balancer.h
+++ b/modules/gateway/include/hickorypost/gateway/load_balancer.h
@@ -32,7 +32,7 @@
 /// Work on a backend server, as processes tell each other.
 struct remote_load {
     double requests = 0;
-    double reading_ms = 0; ///< time to read the prompts of requests without a first event
+    double prefill_ms = 0; ///< time to read the prompts of requests without a first event
 };
 
 /// How one attempt ended, as the balancer learns from it.
@@ -108,7 +108,7 @@
 
     struct ticket {
         std::string backend;
-        double reading_ms = 0;
+        double prefill_ms = 0;
         bool streaming = false;
         bool first_seen = false;
         instant started;
@@ -122,24 +122,24 @@
                                 const job_size& job, std::span<const std::string> tried,
                                 instant now);
     ticket started(const backend_entry& on, const job_size& job, instant now);
-    void first_answer(ticket& it, instant now);
+    void on_first_event(ticket& it, instant now);
     /// Events of a stream came together, `gap` after the one before.
-    void more_events(ticket& it, std::uint64_t events, micros gap, instant now);
+    void on_stream_events(ticket& it, std::uint64_t events, micros gap, instant now);
     void ended(ticket& it, attempt_result how, instant now);
 
     /// Milliseconds that an ordinary engine takes to read a prompt of which `cached` tokens are
     /// kept.
-    [[nodiscard]] double reading_ms(const job_size& job, double cached) const;
+    [[nodiscard]] double prefill_ms(const job_size& job, double cached) const;
     /// How long a backend server still reads prompts, by what this process knows of all work there.
-    [[nodiscard]] millis reading_left(const std::string& backend) const;
+    [[nodiscard]] millis prefill_left(const std::string& backend) const;
     /// The work of all other processes on a backend server.
-    void set_others(const std::string& backend, const remote_load& others);
+    void set_remote_load(const std::string& backend, const remote_load& others);
     void forget(const std::string& backend);
 
 private:
     struct backend_load {
         double requests = 0;
-        double reading_ms = 0;
+        double prefill_ms = 0;
         remote_load others;       ///< all other processes' work
         double failure_ratio = 0; ///< running ratio at `asked_at`
         double service_ms = 0;    ///< running mean; 0: none yet
--- a/modules/gateway/include/hickorypost/gateway/load_table.h
+++ b/modules/gateway/include/hickorypost/gateway/load_table.h
@@ -38,7 +38,7 @@
     /// The work of all sources but one.
     [[nodiscard]] remote_load without(const std::string& source, const std::string& backend) const;
     /// Backend servers whose sums have moved enough since they were last taken here.
-    std::vector<std::string> take_moved();
+    std::vector<std::string> take_changed();
     /// All backend servers with work.
     [[nodiscard]] std::vector<std::string> all() const;
 
--- a/modules/gateway/include/hickorypost/gateway/model_choice.h
+++ b/modules/gateway/include/hickorypost/gateway/model_choice.h
@@ -49,7 +49,7 @@
     /// Attempts that the route still allows.
     std::uint32_t attempts_left = 2;
     /// Milliseconds to read the prompt with each of the route's models.
-    std::span<const double> reading_ms;
+    std::span<const double> prefill_ms;
 };
 
 /// Which of a route's models answers a request that leaves the choice to the gateway.
@@ -66,10 +66,10 @@
     /// What runs took on each route, by model.
     [[nodiscard]] run_times& times() noexcept { return times_; }
     /// Two models answered the same request: how sure each was.
-    void saw_pair(const std::string& smaller, double smaller_confidence, const std::string& larger,
-                  double larger_confidence);
+    void record_confidence_pair(const std::string& smaller, double smaller_confidence,
+                                const std::string& larger, double larger_confidence);
     /// A first event came `part` of the route's target after the request.
-    void saw_first(double part);
+    void record_first_event(double part);
     /// The confidence that an answer needs now, or the largest model is asked.
     [[nodiscard]] double least_confidence() const;
     /// The same where a middle model may do.
@@ -94,7 +94,7 @@
     model_choice_settings settings_;
     run_times times_{{}};
     std::map<std::pair<std::string, std::string>, double> gains_; ///< by smaller and larger model
-    double first_part_ = 0;                                       ///< running mean of `saw_first`
+    double first_part_ = 0; ///< running mean of `record_first_event`
 };
 
 } // namespace hickorypost::gateway
--- a/modules/gateway/include/hickorypost/gateway/rollout_view.h
+++ b/modules/gateway/include/hickorypost/gateway/rollout_view.h
@@ -31,7 +31,7 @@
     /// answer. What other attempts took before says nothing of this version.
     micros took{0};
     /// Estimated prefill time in milliseconds; 0: it has no prompt.
-    double reading_ms = 0;
+    double prefill_ms = 0;
 };
 
 /// One process's side of roll-outs: which versions of a service may get a request, and how
--- a/modules/gateway/include/hickorypost/gateway/run_times.h
+++ b/modules/gateway/include/hickorypost/gateway/run_times.h
@@ -34,16 +34,16 @@
     explicit run_times(run_times_settings settings) : settings_{settings} {}
 
     /// A run's first event came `first` after it was sent, and its last one `rest` after that.
-    /// `reading_ms`: the time that reading its prompt was reckoned to take.
-    void saw(const std::string& route, const std::string& model, double reading_ms, micros first,
+    /// `prefill_ms`: the time that reading its prompt was reckoned to take.
+    void saw(const std::string& route, const std::string& model, double prefill_ms, micros first,
              micros rest);
     /// A run had brought no event after `waited` and was given up.
-    void saw_none(const std::string& model, double reading_ms, micros waited);
+    void saw_none(const std::string& model, double prefill_ms, micros waited);
     /// Milliseconds until the first event of an ordinary run.
-    [[nodiscard]] double first_ms(const std::string& model, double reading_ms) const;
+    [[nodiscard]] double first_ms(const std::string& model, double prefill_ms) const;
     /// Milliseconds in which nearly all runs are whole.
     [[nodiscard]] double whole_ms(const std::string& route, const std::string& model,
-                                  double reading_ms) const;
+                                  double prefill_ms) const;
 
 private:
     /// A running mean with the mean distance from it.
--- a/modules/gateway/src/exchange.cpp
+++ b/modules/gateway/src/exchange.cpp
@@ -290,7 +290,7 @@
         const job_size job = job_now();
         services_.rollouts.saw({record_.service, route_.name, job.model, record_.version,
                                 own_failure, end - attempt_began_,
-                                services_.balancer.reading_ms(job, 0)});
+                                services_.balancer.prefill_ms(job, 0)});
         if (attempt_first_ == instant{} && !own_failure) {
             services_.rollouts.saw_pace(record_.service, route_.name, record_.version,
                                         end - attempt_began_);
@@ -369,7 +369,7 @@
         return;
     }
     if (current_ && request_.any_model && stage_ != stage::relaying) {
-        services_.models.times().saw_none(model_now(), services_.balancer.reading_ms(job_now(), 0),
+        services_.models.times().saw_none(model_now(), services_.balancer.prefill_ms(job_now(), 0),
                                           services_.now() - attempt_began_);
     }
     stop("time is over");
--- a/modules/gateway/src/exchange_answer.cpp
+++ b/modules/gateway/src/exchange_answer.cpp
@@ -84,7 +84,8 @@
     if (!route_.models.empty()) {
         const auto& model = route_.models[model_rank_];
         if (!judged_model_.empty() && judged_model_ != model) {
-            services_.models.saw_pair(judged_model_, judged_confidence_, model, *answer.confidence);
+            services_.models.record_confidence_pair(judged_model_, judged_confidence_, model,
+                                                    *answer.confidence);
         }
         judged_model_ = model;
         judged_confidence_ = *answer.confidence;
@@ -92,7 +93,7 @@
     std::vector<double> reading;
     reading.reserve(route_.models.size());
     for (const auto& model : route_.models) {
-        reading.push_back(services_.balancer.reading_ms(job_of(model), 0));
+        reading.push_back(services_.balancer.prefill_ms(job_of(model), 0));
     }
     const std::uint32_t attempts_left = route_.max_attempts - std::min(sends_, route_.max_attempts);
     const auto spent = std::chrono::duration_cast<millis>(services_.now() - began_);
@@ -118,7 +119,7 @@
         stage_ = stage::pending;
         return;
     }
-    services_.balancer.first_answer(*ticket_, services_.now());
+    services_.balancer.on_first_event(*ticket_, services_.now());
     record_.to_first = services_.now() - began_;
     head_ = std::move(head);
     held_.clear();
@@ -170,8 +171,8 @@
         record_.to_first = services_.now() - began_;
         if (const auto target = std::chrono::duration_cast<micros>(route_.target_latency);
             target.count() > 0) {
-            services_.models.saw_first(static_cast<double>(record_.to_first.count()) /
-                                       static_cast<double>(target.count()));
+            services_.models.record_first_event(static_cast<double>(record_.to_first.count()) /
+                                                static_cast<double>(target.count()));
         }
         head_.fields.remove_hop_by_hop();
         head_.fields.remove("Content-Length");
@@ -183,11 +184,12 @@
         record_.longest_gap = std::max(record_.longest_gap, now - last_event_);
     }
     if (!first_of_attempt) {
-        services_.balancer.more_events(*ticket_, events_.events() - before, now - last_event_, now);
+        services_.balancer.on_stream_events(*ticket_, events_.events() - before, now - last_event_,
+                                            now);
     }
     last_event_ = now;
     note_pace(events_.events() - before);
-    services_.balancer.first_answer(*ticket_, now);
+    services_.balancer.on_first_event(*ticket_, now);
     caller_.piece(whole);
     if (current_ && caller_.unsent() > services_.settings.max_unsent_bytes) {
         current_->set_reading(false);
@@ -244,7 +246,7 @@
     if (!request_.any_model || attempt_first_ == instant{} || !attempt_is_whole_) {
         return;
     }
-    const double reading = services_.balancer.reading_ms(job_now(), 0);
+    const double reading = services_.balancer.prefill_ms(job_now(), 0);
     services_.models.times().saw(route_.name, model_now(), reading, attempt_first_ - attempt_began_,
                                  services_.now() - attempt_first_);
 }
--- a/modules/gateway/src/exchange_silence.cpp
+++ b/modules/gateway/src/exchange_silence.cpp
@@ -46,7 +46,7 @@
     // Its streams are expected to pause during prefill.
     const millis wait =
         std::max(settings.min_probe_delay, millis{static_cast<std::int64_t>(part)}) +
-        services_.balancer.reading_left(target_.backend);
+        services_.balancer.prefill_left(target_.backend);
     // A probe would count as a request under its limit.
     const bool limited = services_.limits.limit_of(target_.backend).has_value();
     if (!settings.probe_silent_backends || !on_engine || limited || wait >= patience) {
--- a/modules/gateway/src/load_balancer.cpp
+++ b/modules/gateway/src/load_balancer.cpp
@@ -100,7 +100,7 @@
     return out;
 }
 
-double load_balancer::reading_ms(const job_size& job, double cached) const
+double load_balancer::prefill_ms(const job_size& job, double cached) const
 {
     constexpr double thousand = 1000;
     const double fresh = std::max(0.0, job.prompt_tokens - cached) / thousand;
@@ -120,7 +120,7 @@
     double out = it.record.failure_domain == own_domain_ ? 0 : settings_.other_domain_ms;
     if (job.prompt_tokens > 0) {
         out += settings_.bad_way_ms * ways_.excess(it.record.failure_domain, now);
-        const double reading = load.reading_ms + others.reading_ms + reading_ms(job, 0);
+        const double reading = load.prefill_ms + others.prefill_ms + prefill_ms(job, 0);
         const double noticed = std::max(0.0, reading - settings_.unnoticed_reading_ms);
         out += reading;
         out += running * (settings_.stream_ms + settings_.held_up_ms * noticed);
@@ -218,9 +218,9 @@
     load.failure_ratio = failures_now(load, now);
     load.service_trust *=
         decay(now - std::exchange(load.asked_at, now), settings_.service_half_life);
-    const double reading = reading_ms(job, cached);
-    load.reading_ms += reading;
-    changed_(on.record.id, {load.requests, load.reading_ms});
+    const double reading = prefill_ms(job, cached);
+    load.prefill_ms += reading;
+    changed_(on.record.id, {load.requests, load.prefill_ms});
     if (load.probation_until > now) {
         load.probation_until = now + settings_.longest_probation; // one try at a time
     }
@@ -228,7 +228,7 @@
             false};
 }
 
-void load_balancer::first_answer(ticket& it, instant now)
+void load_balancer::on_first_event(ticket& it, instant now)
 {
     if (it.first_seen) {
         return;
@@ -236,8 +236,8 @@
     it.first_seen = true;
     it.first_at = now;
     backend_load& load = loads_[it.backend];
-    load.reading_ms = std::max(0.0, load.reading_ms - it.reading_ms);
-    changed_(it.backend, {load.requests, load.reading_ms});
+    load.prefill_ms = std::max(0.0, load.prefill_ms - it.prefill_ms);
+    changed_(it.backend, {load.requests, load.prefill_ms});
     load.misses = 0;
     load.probation_until = {};
     if (!it.streaming) {
@@ -249,7 +249,7 @@
     }
 }
 
-void load_balancer::more_events(ticket& it, std::uint64_t events, micros gap, instant now)
+void load_balancer::on_stream_events(ticket& it, std::uint64_t events, micros gap, instant now)
 {
     if (ways_.is_stall(gap, events)) {
         it.held_up = true;
@@ -262,9 +262,9 @@
     backend_load& load = loads_[it.backend];
     load.requests = std::max(0.0, load.requests - 1);
     if (!it.first_seen) {
-        load.reading_ms = std::max(0.0, load.reading_ms - it.reading_ms);
+        load.prefill_ms = std::max(0.0, load.prefill_ms - it.prefill_ms);
     }
-    changed_(it.backend, {load.requests, load.reading_ms});
+    changed_(it.backend, {load.requests, load.prefill_ms});
     if (it.streaming && it.first_seen) {
         const double kept = static_cast<double>((now - it.first_at).count()) / micros_per_milli;
         slot_ms_ += service_time_weight * (kept - slot_ms_);
@@ -297,17 +297,17 @@
     }
 }
 
-millis load_balancer::reading_left(const std::string& backend) const
+millis load_balancer::prefill_left(const std::string& backend) const
 {
     const auto found = loads_.find(backend);
     if (found == loads_.end()) {
         return millis{0};
     }
     const backend_load& load = found->second;
-    return millis{static_cast<std::int64_t>(load.reading_ms + load.others.reading_ms)};
+    return millis{static_cast<std::int64_t>(load.prefill_ms + load.others.prefill_ms)};
 }
 
-void load_balancer::set_others(const std::string& backend, const remote_load& others)
+void load_balancer::set_remote_load(const std::string& backend, const remote_load& others)
 {
     loads_[backend].others = settings_.heeds_others ? others : remote_load{};
 }
--- a/modules/gateway/src/load_table.cpp
+++ b/modules/gateway/src/load_table.cpp
@@ -9,7 +9,7 @@
 
 bool is_nothing(const remote_load& it)
 {
-    return it.requests <= 0 && it.reading_ms <= 0;
+    return it.requests <= 0 && it.prefill_ms <= 0;
 }
 
 } // namespace
@@ -19,10 +19,10 @@
     it.sum = {};
     for (const auto& [source, part] : it.parts) {
         it.sum.requests += part.requests;
-        it.sum.reading_ms += part.reading_ms;
+        it.sum.prefill_ms += part.prefill_ms;
     }
     const bool far =
-        std::abs(it.sum.reading_ms - it.told.reading_ms) >= settings_.least_reading_ms ||
+        std::abs(it.sum.prefill_ms - it.told.prefill_ms) >= settings_.least_reading_ms ||
         std::abs(it.sum.requests - it.told.requests) >= settings_.least_requests;
     if (far && !std::exchange(it.moved, true)) {
         moved_.push_back(backend);
@@ -70,13 +70,13 @@
     for (const auto& [name, part] : found->second.parts) {
         if (name != source) {
             out.requests += part.requests;
-            out.reading_ms += part.reading_ms;
+            out.prefill_ms += part.prefill_ms;
         }
     }
     return out;
 }
 
-std::vector<std::string> load_table::take_moved()
+std::vector<std::string> load_table::take_changed()
 {
     for (const auto& backend : moved_) {
         const auto found = rows_.find(backend);
--- a/modules/gateway/src/model_choice.cpp
+++ b/modules/gateway/src/model_choice.cpp
@@ -70,7 +70,7 @@
     const auto& route = answer.route;
     return !settings_.weighs_time ||
            static_cast<double>(answer.left.count()) >=
-               times_.whole_ms(route.name, route.models[rank], answer.reading_ms[rank]);
+               times_.whole_ms(route.name, route.models[rank], answer.prefill_ms[rank]);
 }
 
 bool model_choice::on_target(const model_answer& answer, std::size_t rank) const
@@ -78,7 +78,7 @@
     const auto& route = answer.route;
     const auto left = static_cast<double>((route.target_latency - answer.spent).count());
     return !settings_.weighs_lateness || left <= 0 ||
-           left >= times_.first_ms(route.models[rank], answer.reading_ms[rank]);
+           left >= times_.first_ms(route.models[rank], answer.prefill_ms[rank]);
 }
 
 double model_choice::expected(const std::string& smaller, double confidence,
@@ -88,8 +88,8 @@
     return confidence + (known == gains_.end() ? settings_.first_gain : known->second);
 }
 
-void model_choice::saw_pair(const std::string& smaller, double smaller_confidence,
-                            const std::string& larger, double larger_confidence)
+void model_choice::record_confidence_pair(const std::string& smaller, double smaller_confidence,
+                                          const std::string& larger, double larger_confidence)
 {
     // At the ends of the scale the difference is cut off and says little.
     if (smaller_confidence <= 0 || larger_confidence >= 1) {
@@ -99,7 +99,7 @@
     gain += settings_.gain_weight * (larger_confidence - smaller_confidence - gain);
 }
 
-void model_choice::saw_first(double part)
+void model_choice::record_first_event(double part)
 {
     first_part_ += settings_.weight * (part - first_part_);
 }
--- a/modules/gateway/src/rollout_view.cpp
+++ b/modules/gateway/src/rollout_view.cpp
@@ -260,7 +260,7 @@
     }
     const double ms = static_cast<double>(answer.took.count()) / micros_per_milli;
     // Long prompts and large models take many times as long as short and small ones.
-    const double reckoned = std::max(least_reckoned_ms, answer.reading_ms);
+    const double reckoned = std::max(least_reckoned_ms, answer.prefill_ms);
     double& pace = it.old_pace[{answer.route, answer.model}];
     bool bad = answer.failed;
     if (!target && !bad) {
--- a/modules/gateway/src/run_times.cpp
+++ b/modules/gateway/src/run_times.cpp
@@ -63,11 +63,11 @@
     return first_.try_emplace(model, guess()).first->second;
 }
 
-void run_times::saw(const std::string& route, const std::string& model, double reading_ms,
+void run_times::saw(const std::string& route, const std::string& model, double prefill_ms,
                     micros first, micros rest)
 {
     auto& known_first = line_of(model);
-    known_first.add(reading_ms, to_millis(first), settings_.weight);
+    known_first.add(prefill_ms, to_millis(first), settings_.weight);
     known_first.last_run = ++runs_;
     auto& known_rest = rest_[{route, model}];
     known_rest.add(to_millis(rest), settings_.weight);
@@ -88,28 +88,28 @@
     }
 }
 
-void run_times::saw_none(const std::string& model, double reading_ms, micros waited)
+void run_times::saw_none(const std::string& model, double prefill_ms, micros waited)
 {
     // It says only that this run would have taken longer; a short wait says nothing.
-    if (to_millis(waited) > first_ms(model, reading_ms)) {
+    if (to_millis(waited) > first_ms(model, prefill_ms)) {
         auto& known = line_of(model);
-        known.add(reading_ms, to_millis(waited), settings_.weight);
+        known.add(prefill_ms, to_millis(waited), settings_.weight);
         known.last_run = runs_;
     }
 }
 
-double run_times::first_ms(const std::string& model, double reading_ms) const
+double run_times::first_ms(const std::string& model, double prefill_ms) const
 {
     const auto found = first_.find(model);
-    return (found == first_.end() ? guess() : found->second).value(reading_ms);
+    return (found == first_.end() ? guess() : found->second).value(prefill_ms);
 }
 
 double run_times::whole_ms(const std::string& route, const std::string& model,
-                           double reading_ms) const
+                           double prefill_ms) const
 {
     const auto first = first_.find(model);
     const double spread = first == first_.end() ? 0 : first->second.deviation;
-    double out = first_ms(model, reading_ms) + settings_.deviations * spread;
+    double out = first_ms(model, prefill_ms) + settings_.deviations * spread;
     if (const auto rest = rest_.find({route, model}); rest != rest_.end()) {
         out += rest->second.mean + settings_.deviations * rest->second.deviation;
     }
--- a/modules/gateway/tests/exchange_silence_test.cpp
+++ b/modules/gateway/tests/exchange_silence_test.cpp
@@ -158,7 +158,7 @@
     one_gateway it;
     on_engines(it);
     for (const auto* id : {"b1", "b2", "b3"}) {
-        it.balancer.set_others(id, {1, 2000});
+        it.balancer.set_remote_load(id, {1, 2000});
     }
     it.ask(as_stream, millis{4900});
     it.timers.run_for(millis{900});
--- a/modules/gateway/tests/load_balancer_test.cpp
+++ b/modules/gateway/tests/load_balancer_test.cpp
@@ -40,7 +40,7 @@
     {
         auto it = servers.balancer.started(*servers.directory.find(id), {}, now);
         now += millis{12};
-        servers.balancer.first_answer(it, now);
+        servers.balancer.on_first_event(it, now);
         servers.balancer.ended(it, how, now);
         now += millis{38};
     }
@@ -81,8 +81,8 @@
 BOOST_AUTO_TEST_CASE(a_long_prompt_goes_where_it_holds_up_few_streams)
 {
     some_engines engines{2};
-    engines.balancer.set_others("e0", {30, 0});
-    engines.balancer.set_others("e1", {4, 300});
+    engines.balancer.set_remote_load("e0", {30, 0});
+    engines.balancer.set_remote_load("e1", {4, 300});
     BOOST_TEST(engines.choose(prompt(100'000)) == "e1");
     // A short one is hardly noticed by those who run, and does not wait.
     BOOST_TEST(engines.choose(prompt(2'000)) == "e0");
@@ -95,13 +95,13 @@
 {
     some_engines engines{1};
     engines.add("far", "b");
-    engines.balancer.set_others("e0", {20, 0});
+    engines.balancer.set_remote_load("e0", {20, 0});
     const job_size job = prompt(500);
     BOOST_REQUIRE(engines.choose(job) == "far");
     const auto stream = [&](const std::string& id, bool held_up) {
         auto it = engines.balancer.started(*engines.directory.find(id), job, start);
-        engines.balancer.first_answer(it, start);
-        engines.balancer.more_events(it, held_up ? 5 : 1, millis{220}, start);
+        engines.balancer.on_first_event(it, start);
+        engines.balancer.on_stream_events(it, held_up ? 5 : 1, millis{220}, start);
         engines.balancer.ended(it, attempt_result::answered, start);
     };
     for (int n = 0; n < 5; ++n) {
@@ -123,7 +123,7 @@
         std::string id = servers.choose({}, now);
         auto it = servers.balancer.started(*servers.directory.find(id), {}, now);
         now += took;
-        servers.balancer.first_answer(it, now);
+        servers.balancer.on_first_event(it, now);
         servers.balancer.ended(it, attempt_result::answered, now);
         now += millis{40};
         return id;
@@ -134,7 +134,7 @@
     }
     auto slow = servers.balancer.started(*servers.directory.find("e0"), {}, now);
     now += millis{60};
-    servers.balancer.first_answer(slow, now);
+    servers.balancer.on_first_event(slow, now);
     servers.balancer.ended(slow, attempt_result::answered, now);
     int again = 0;
     for (int n = 0; n < 100; ++n) { // five seconds
@@ -182,7 +182,7 @@
         const std::string id = servers.choose({}, now);
         auto it = servers.balancer.started(*servers.directory.find(id), {}, now);
         now += id == "e0" ? millis{60} : millis{12};
-        servers.balancer.first_answer(it, now);
+        servers.balancer.on_first_event(it, now);
         servers.balancer.ended(it, attempt_result::answered, now);
         now += millis{40};
         slow += id == "e0" ? 1 : 0;
--- a/modules/gateway/tests/load_table_test.cpp
+++ b/modules/gateway/tests/load_table_test.cpp
@@ -16,10 +16,10 @@
 {
     load_table it{{}};
     BOOST_TEST(!it.set("a", "engine", {1, 10}));
-    BOOST_TEST(it.take_moved().empty());
+    BOOST_TEST(it.take_changed().empty());
     BOOST_TEST(it.set("b", "engine", {1, 900}));
-    BOOST_TEST(it.take_moved() == std::vector<std::string>{"engine"});
-    BOOST_TEST(it.take_moved().empty());
+    BOOST_TEST(it.take_changed() == std::vector<std::string>{"engine"});
+    BOOST_TEST(it.take_changed().empty());
     BOOST_TEST(!it.set("a", "engine", {2, 18}));
     BOOST_TEST(it.set("a", "engine", {3, 26}));
 }
@@ -32,7 +32,7 @@
     it.set("c", "engine", {1, 7});
     const auto others = it.without("b", "engine");
     BOOST_TEST(others.requests == 3);
-    BOOST_TEST(others.reading_ms == 107);
+    BOOST_TEST(others.prefill_ms == 107);
     BOOST_TEST(it.without("a", "unknown").requests == 0);
 }
 
@@ -44,10 +44,10 @@
     it.set("a", "one", {5, 200});
     it.set("a", "two", {1, 300});
     it.set("b", "two", {1, 20});
-    it.take_moved();
+    it.take_changed();
     BOOST_TEST(it.forget("a").size() == 2U);
-    BOOST_TEST(it.take_moved().size() == 2U);
-    BOOST_TEST(it.without("", "two").reading_ms == 20);
+    BOOST_TEST(it.take_changed().size() == 2U);
+    BOOST_TEST(it.without("", "two").prefill_ms == 20);
     BOOST_TEST(it.all() == std::vector<std::string>{"two"});
 }
 
@@ -57,7 +57,7 @@
     it.set("a", "one", {5, 200});
     BOOST_TEST(it.replace("a", {{"two", {1, 40}}}).size() == 2U);
     BOOST_TEST(it.without("", "one").requests == 0);
-    BOOST_TEST(it.without("", "two").reading_ms == 40);
+    BOOST_TEST(it.without("", "two").prefill_ms == 40);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/modules/gateway/tests/model_choice_test.cpp
+++ b/modules/gateway/tests/model_choice_test.cpp
@@ -57,7 +57,7 @@
     model_choice it{{}};
     BOOST_TEST(after(it, small, 0.55) == middle);
     for (int n = 0; n < 200; ++n) {
-        it.saw_first(0.9);
+        it.record_first_event(0.9);
     }
     BOOST_TEST(after(it, small, 0.55) == small);
 }
@@ -77,7 +77,7 @@
 {
     model_choice it{{}};
     for (int n = 0; n < 100; ++n) {
-        it.saw_pair("small", 0.45, "middle", 0.46);
+        it.record_confidence_pair("small", 0.45, "middle", 0.46);
     }
     BOOST_TEST(after(it, small, 0.45) == large);
 }
@@ -86,8 +86,8 @@
 {
     model_choice it{{}};
     for (int n = 0; n < 100; ++n) {
-        it.saw_pair("small", 0.3, "middle", 0.6);
-        it.saw_pair("small", 0.3, "middle", 1.0); // the end of the scale says little
+        it.record_confidence_pair("small", 0.3, "middle", 0.6);
+        it.record_confidence_pair("small", 0.3, "middle", 1.0); // the end of the scale says little
     }
     BOOST_TEST(after(it, small, 0.25) == middle);
 }
@@ -98,7 +98,7 @@
 {
     model_choice it{{}};
     for (int n = 0; n < 200; ++n) {
-        it.saw_first(0.9);
+        it.record_first_event(0.9);
     }
     BOOST_TEST(after(it, small, 0.45) == middle);
     BOOST_TEST(after(it, small, 0.35) == small);
--- a/modules/gateway/tests/parts_test.cpp
+++ b/modules/gateway/tests/parts_test.cpp
@@ -247,7 +247,7 @@
             it.ended(ticket, attempt_result::unreachable, now);
             continue;
         }
-        it.first_answer(ticket, now + millis{20});
+        it.on_first_event(ticket, now + millis{20});
         const bool fails = to->record.id == "grey" && n % 2 == 0;
         it.ended(ticket, fails ? attempt_result::failed : attempt_result::answered,
                  now + millis{20});
@@ -278,7 +278,7 @@
     }
     BOOST_TEST(homes.size() == 1U);
     load_balancer busy{{}, "d", seeded_random_fn(1), [](const auto&, const auto&) {}};
-    busy.set_others(*homes.begin(), {60, 3000});
+    busy.set_remote_load(*homes.begin(), {60, 3000});
     BOOST_TEST(busy.choose(all, job, {}, start)->record.id != *homes.begin());
 }
 
--- a/modules/wire/include/hickorypost/wire/messages.h
+++ b/modules/wire/include/hickorypost/wire/messages.h
@@ -404,7 +404,7 @@
 struct backend_load {
     std::string id;
     double requests = 0;
-    double reading_ms = 0; ///< time to read the prompts of requests without a first event
+    double prefill_ms = 0; ///< time to read the prompts of requests without a first event
 };
 
 /// From an attached host: its own work. To it: that of all others together.
--- a/src/gateway/load_feed.cpp
+++ b/src/gateway/load_feed.cpp
@@ -43,7 +43,7 @@
     heard_[from] = env_.now();
     load_map loads;
     for (const auto& it : report.loads) {
-        loads[it.id] = {it.requests, it.reading_ms};
+        loads[it.id] = {it.requests, it.prefill_ms};
     }
     if (report.whole) {
         take_whole(from, loads);
@@ -58,7 +58,7 @@
             }
             concerned.push_back(backend);
         } else {
-            balancer_.set_others(backend, load);
+            balancer_.set_remote_load(backend, load);
             told_others_.insert(backend);
         }
     }
@@ -80,11 +80,11 @@
     }
     for (const auto& backend : std::exchange(told_others_, {})) {
         if (!loads.contains(backend)) {
-            balancer_.set_others(backend, {});
+            balancer_.set_remote_load(backend, {});
         }
     }
     for (const auto& [backend, load] : loads) {
-        balancer_.set_others(backend, load);
+        balancer_.set_remote_load(backend, load);
         told_others_.insert(backend);
     }
 }
@@ -92,7 +92,7 @@
 void load_feed::update_balancer(const std::vector<std::string>& backends)
 {
     for (const auto& backend : backends) {
-        balancer_.set_others(backend, all_.without(mesh_.self(), backend));
+        balancer_.set_remote_load(backend, all_.without(mesh_.self(), backend));
     }
 }
 
@@ -140,14 +140,14 @@
 void load_feed::flush()
 {
     flushed_ = env_.now();
-    const auto own_moved = own_part_.take_moved();
+    const auto own_moved = own_part_.take_changed();
     if (!has_disk_) {
         if (!front_.empty()) {
             tell(front_, own_part_, own_moved);
         }
         return;
     }
-    const auto all_moved = all_.take_moved();
+    const auto all_moved = all_.take_changed();
     for (const auto& host : mesh_.linked()) {
         if (mesh_.is_core(host)) {
             tell(host, own_part_, own_moved);
@@ -180,7 +180,7 @@
     for (const auto& backend : backends) {
         // What a host reported itself it knows better.
         const auto load = sums.without(to, backend);
-        out.loads.push_back({backend, load.requests, load.reading_ms});
+        out.loads.push_back({backend, load.requests, load.prefill_ms});
     }
     return out;
 }
