--- a/modules/gateway/include/hickorypost/gateway/load_balancer.h
+++ b/modules/gateway/include/hickorypost/gateway/load_balancer.h
@@ -13,178 +13,194 @@
 
 namespace hickorypost::gateway {
 
-/// A part of a prompt, which engines keep in memory under its id.
+/// A part of a prompt. Engines keep its KV cache under the id.
 struct prompt_part {
     std::uint64_t id = 0;
     double tokens = 0;
 };
 
-/// What a request asks of a backend server, as far as it is known before it runs.
+/// Estimated resource demand of a request, known before it runs.
 struct job_size {
-    double prompt_tokens = 0; ///< 0: a plain service's request
+    double prompt_tokens = 0; ///< 0 for a request to a plain (non-LLM) service
     double output_tokens = 0;
-    double pace = 1; ///< how much slower its model is than an ordinary one
+    double pace = 1; ///< slowdown of the model against a reference model
     std::string model;
-    std::vector<prompt_part> parts; ///< leading parts first
-    bool suspect = false;           ///< it may crash the backend server that runs it
+    std::vector<prompt_part> parts; ///< in prompt order
+    bool suspect = false;           ///< the request may crash the backend server that runs it
 };
 
-/// Work on a backend server, as processes tell each other.
+/// Work on a backend server, as gateway processes report it to each other.
 struct remote_load {
     double requests = 0;
-    double prefill_ms = 0; ///< time to read the prompts of requests without a first event
+    double prefill_ms = 0; ///< pending prefill of requests that have no first event yet
 };
 
-/// How one attempt ended, as the balancer learns from it.
+/// Outcome of one attempt, from which the balancer updates its statistics.
 enum class attempt_result : std::uint8_t {
-    answered,    ///< with any answer of the backend server that is not its failure
-    failed,      ///< it ran and failed
-    refused,     ///< full
-    unreachable, ///< no connection, or silence
-    dropped,     ///< given up by this side
+    answered,    ///< any response that is not a failure of the backend server
+    failed,      ///< the request ran and failed
+    refused,     ///< the backend server had no capacity
+    unreachable, ///< no connection, or no response in time
+    dropped,     ///< cancelled by this gateway
 };
 
 struct balancer_settings {
-    /// Prompt tokens that an ordinary engine reads in a millisecond. Only proportions matter.
+    /// Prefill rate of a reference engine. Only its ratio to the other costs matters.
     double prompt_tokens_per_ms = 100;
-    /// Attention grows with the square of a prompt: milliseconds for (1,000 tokens) squared, on an
-    /// ordinary engine. A prompt of 50,000 tokens takes nearly as long again for it, and delays
-    /// each stream that runs beside it.
-    double square_ms = 0.15;
-    /// What one more running stream costs a new request, in milliseconds.
-    double stream_ms = 1.0;
-    /// Prefill of this many milliseconds delays running streams by a short pause only.
-    double unnoticed_reading_ms = 600;
-    /// Cost of each millisecond of prefill beyond that, for each running stream.
-    double held_up_ms = 0.03;
-    /// Mean time that a stream occupies its slot, before any was measured.
+    /// Cost of attention, which grows with the square of the prompt length: milliseconds per
+    /// (1,000 tokens) squared on a reference engine. For a prompt of 50,000 tokens attention nearly
+    /// doubles the prefill time, which delays every concurrent stream.
+    double quadratic_prefill_ms = 0.15;
+    /// Cost to a new request of each stream that runs concurrently, in milliseconds.
+    double per_stream_ms = 1.0;
+    /// Prefill up to this many milliseconds pauses running streams only briefly.
+    double tolerated_prefill_ms = 600;
+    /// Cost in milliseconds of each millisecond of prefill beyond `tolerated_prefill_ms`, for each
+    /// running stream.
+    double stream_delay_factor = 0.03;
+    /// Assumed mean time that a stream occupies its slot until the first measurement.
     double slot_ms = 2000;
-    /// Mean service time of a plain service's request before any was measured.
+    /// Assumed mean service time of a plain service until the first measurement. Also the extra
+    /// cost of a backend server that is still cold.
     double service_ms = 25;
-    /// The excess of a plain backend server's mean service time over the fastest one's halves in
-    /// each such time without a request, so that an idle one is measured again.
+    /// Half-life of the difference between a plain backend server's mean service time and that of
+    /// the fastest one, while it gets no requests. The decay lets an idle backend server be
+    /// measured again.
     millis service_half_life{1000};
-    /// Cost, for a suspect, of each request that runs concurrently.
-    double suspect_beside_ms = 50;
-    /// Extra cost of a backend server in another failure domain: two link delays and dearer bytes.
+    /// Cost, to a request that may crash the backend server, of each request that runs
+    /// concurrently.
+    double suspect_concurrency_ms = 50;
+    /// Extra cost of a backend server in another failure domain: two link delays and
+    /// more expensive traffic.
     double other_domain_ms = 4;
-    /// Cost of a failure domain from which all streams arrive delayed.
-    double bad_way_ms = 500;
-    /// Prompts with shared parts meet on one engine by hashing.
-    bool home_by_hash = true;
-    /// Work that other processes report counts.
-    bool heeds_others = true;
-    /// Requests beyond an engine's slots wait.
-    bool waits_for_slots = true;
+    /// Cost of a failure domain from which all streams arrive with network delays.
+    double impaired_path_ms = 500;
+    /// Place prompts with shared parts on the same engine by rendezvous hashing.
+    bool use_rendezvous_hashing = true;
+    /// Include the load that other gateway processes report.
+    bool use_remote_load = true;
+    /// Add the expected wait for a free slot to the cost of an engine whose slots are all in use.
+    bool count_slot_wait = true;
     /// Time for which engines keep a prompt part cached after its last use.
     millis prefix_memory{15'000};
-    /// Value of a cached prompt token, in multiples of its prefill time.
+    /// Cost reduction for each cached prompt token, in multiples of its prefill time.
     double prefix_weight = 5;
-    /// Time until an unreachable backend server is tried again; doubles up to the longest.
+    /// Backoff after an unreachable backend server; doubles with each consecutive failure, up to
+    /// `longest_probation`.
     millis first_probation{400};
     millis longest_probation{5000};
-    /// Weight of the newest result in a backend server's running failure ratio.
+    /// Weight of the newest result in a backend server's moving-average failure ratio.
     double failure_weight = 0.1;
-    /// A backend server that fails this much more often than the service as a whole is avoided.
+    /// A backend server whose failure ratio exceeds the mean of all candidates by more than this is
+    /// avoided.
     double failure_margin = 0.15;
-    /// A failure ratio holds for `failure_hold` after the last request, then halves in each
-    /// `failure_half_life`: a backend server that is avoided for its failures is measured again.
+    /// The failure ratio stays constant for `failure_hold` after the last request, then halves
+    /// every `failure_half_life`, so that a backend server that is avoided for its failures is
+    /// measured again.
     millis failure_hold{5000};
     millis failure_half_life{2000};
 };
 
-/// Chooses a backend server by the expected time until it answers.
+/// Chooses the backend server with the lowest expected latency.
 ///
-/// This process' own work counts at once, other processes' from their reports. Ties are broken at
-/// random, as many processes see the same reports. Prompts that share parts are placed on the same
-/// engine by rendezvous hashing. Performs no I/O itself.
+/// Load from this process counts immediately, load from other gateway processes as they report it.
+/// Ties are broken at random because many processes see the same reports. Prompts that share parts
+/// are placed on the same engine by rendezvous hashing. Performs no I/O itself.
 class load_balancer {
 public:
-    /// Called for each change of this process' own work on a backend server.
+    /// Called whenever this process' own load on a backend server changes.
     using changed_fn = std::function<void(const std::string& backend, const remote_load& own)>;
 
     load_balancer(balancer_settings settings, std::string own_domain, random_fn random,
                   changed_fn changed);
 
+    /// State of one attempt, from `started` to `ended`.
     struct ticket {
         std::string backend;
         double prefill_ms = 0;
         bool streaming = false;
-        bool first_seen = false;
+        bool has_first_event = false;
         instant started;
         std::string failure_domain;
-        bool held_up = false; ///< its events were delayed by the network at least once
-        instant first_at;     ///< its first event
+        bool delayed = false;   ///< the network delayed its events at least once
+        instant first_event_at; ///< time of the first event
     };
 
-    /// The best candidate that is not in `tried`; null if none is left.
+    /// Returns the candidate with the lowest cost that is not in `tried`; null if none is left.
     const backend_entry* choose(std::span<const backend_entry* const> candidates,
                                 const job_size& job, std::span<const std::string> tried,
                                 instant now);
+    /// Accounts for an attempt that is sent to `on`.
     ticket started(const backend_entry& on, const job_size& job, instant now);
+    /// The first event of a stream, or the head of a plain response, has arrived. Later calls for
+    /// the same attempt have no effect.
     void on_first_event(ticket& it, instant now);
-    /// Events of a stream came together, `gap` after the one before.
+    /// `events` events of a stream arrived together, `gap` after the previous one.
     void on_stream_events(ticket& it, std::uint64_t events, micros gap, instant now);
+    /// Removes the attempt's load and records its outcome.
     void ended(ticket& it, attempt_result how, instant now);
 
-    /// Milliseconds that an ordinary engine takes to read a prompt of which `cached` tokens are
-    /// kept.
+    /// Prefill time in milliseconds on a reference engine that has `cached` tokens of the prompt
+    /// cached.
     [[nodiscard]] double prefill_ms(const job_size& job, double cached) const;
-    /// How long a backend server still reads prompts, by what this process knows of all work there.
+    /// Estimated pending prefill time of a backend server, from local and reported load.
     [[nodiscard]] millis prefill_left(const std::string& backend) const;
-    /// The work of all other processes on a backend server.
-    void set_remote_load(const std::string& backend, const remote_load& others);
+    /// Sets the load of all other gateway processes on a backend server.
+    void set_remote_load(const std::string& backend, const remote_load& remote);
+    /// Drops all statistics of a backend server.
     void forget(const std::string& backend);
 
 private:
     struct backend_load {
         double requests = 0;
         double prefill_ms = 0;
-        remote_load others;       ///< all other processes' work
-        double failure_ratio = 0; ///< running ratio at `asked_at`
-        double service_ms = 0;    ///< running mean; 0: none yet
-        double service_trust = 1; ///< weight of that mean, decays without requests
-        instant asked_at;         ///< when it last got a request
-        std::uint32_t misses = 0;
+        remote_load remote;        ///< load of all other processes
+        double failure_ratio = 0;  ///< moving average at `last_request_at`
+        double service_ms = 0;     ///< moving average; 0: no sample yet
+        double service_weight = 1; ///< weight of that average, decays while idle
+        instant last_request_at;   ///< when the last request was sent
+        std::uint32_t consecutive_unreachable = 0;
         instant probation_until;
-        instant full_until;
-        std::unordered_map<std::uint64_t, instant> parts; ///< by part and model
+        instant saturated_until;
+        std::unordered_map<std::uint64_t, instant> parts; ///< last use, by `part_key`
     };
-    /// A candidate with what is known of it.
-    struct option {
+    /// A backend server under consideration and its load.
+    struct candidate {
         const backend_entry* entry = nullptr;
         backend_load* load = nullptr;
     };
-    /// What all candidates have in common for one choice.
-    struct comparison {
+    /// Statistics over all candidates of one choice, against which each is rated.
+    struct baseline {
         double failures = 0;   ///< mean failure ratio
-        double service_ms = 0; ///< of the fastest, and of one that was not measured yet
+        double service_ms = 0; ///< of the fastest; assumed for unmeasured candidates
     };
 
-    void set_options(std::span<const backend_entry* const> candidates);
-    void set_part_keys(const job_size& job);
-    /// The candidate on which prompts with these parts meet; null if there are none.
-    [[nodiscard]] const backend_entry* home() const;
-    [[nodiscard]] comparison compare(instant now) const;
-    [[nodiscard]] double cost_ms(const option& at, const job_size& job, const comparison& all,
+    void collect_candidates(std::span<const backend_entry* const> candidates);
+    void compute_part_keys(const job_size& job);
+    /// The candidate that ranks highest by rendezvous hashing of the shared parts; null if the
+    /// prompt has none.
+    [[nodiscard]] const backend_entry* preferred_engine() const;
+    [[nodiscard]] baseline compute_baseline(instant now) const;
+    [[nodiscard]] double cost_ms(const candidate& at, const job_size& job, const baseline& base,
                                  instant now) const;
-    /// What a plain request is likely to take there.
-    [[nodiscard]] double expected_service_ms(const backend_load& load, const comparison& all,
+    /// Expected service time of a plain request.
+    [[nodiscard]] double expected_service_ms(const backend_load& load, const baseline& base,
                                              instant now) const;
-    /// The failure ratio as far as it still holds.
-    [[nodiscard]] double failures_now(const backend_load& load, instant now) const;
-    [[nodiscard]] double cached_tokens(const backend_load& load, const job_size& job, bool is_home,
-                                       instant now) const;
+    /// The failure ratio, decayed by the time since the last request.
+    [[nodiscard]] double decayed_failure_ratio(const backend_load& load, instant now) const;
+    /// Expected number of prompt tokens that the engine has cached.
+    [[nodiscard]] double cached_tokens(const backend_load& load, const job_size& job,
+                                       bool is_preferred, instant now) const;
 
     balancer_settings settings_;
     std::string own_domain_;
     random_fn random_;
     std::unordered_map<std::string, backend_load> loads_;
     changed_fn changed_;
-    way_quality ways_{{}};
-    double slot_ms_;              ///< running mean of the time that a stream keeps its slot
-    std::vector<option> options_; ///< of the choice being made
-    std::vector<std::uint64_t> part_keys_; ///< of the shared parts of its prompt
+    way_quality path_quality_{{}};
+    double slot_ms_; ///< moving average of the time that a stream occupies its slot
+    std::vector<candidate> candidates_;    ///< of the current choice
+    std::vector<std::uint64_t> part_keys_; ///< of the shared parts of the current prompt
 };
 
 } // namespace hickorypost::gateway
--- a/modules/gateway/src/decision_settings.cpp
+++ b/modules/gateway/src/decision_settings.cpp
@@ -19,9 +19,9 @@
     mechanism{"failure_margin", "backend servers that fail more often than others are avoided",
               [](all_settings& it) { it.balancer.failure_margin = 1; }},
     mechanism{"held_up_streams", "long prompts go where they hold up few streams",
-              [](all_settings& it) { it.balancer.held_up_ms = 0; }},
+              [](all_settings& it) { it.balancer.stream_delay_factor = 0; }},
     mechanism{"home_engine", "prompts with shared parts meet on one engine by hashing",
-              [](all_settings& it) { it.balancer.home_by_hash = false; }},
+              [](all_settings& it) { it.balancer.use_rendezvous_hashing = false; }},
     mechanism{"late_answers", "a larger model that would be late is asked only in need",
               [](all_settings& it) { it.models.weighs_lateness = false; }},
     mechanism{"liveness_probe", "engines whose responses have stalled are probed",
@@ -29,7 +29,7 @@
     mechanism{"middle_model", "models between the smallest and the largest",
               [](all_settings& it) { it.models.uses_middle = false; }},
     mechanism{"other_hosts_work", "what other processes have on backend servers",
-              [](all_settings& it) { it.balancer.heeds_others = false; }},
+              [](all_settings& it) { it.balancer.use_remote_load = false; }},
     mechanism{"own_domain", "backend servers of the own failure domain first",
               [](all_settings& it) { it.balancer.other_domain_ms = 0; }},
     mechanism{
@@ -54,9 +54,9 @@
                   it.exchange.plain_silence_factor = never;
               }},
     mechanism{"slot_wait", "waiting for a slot counts as long as slots are kept",
-              [](all_settings& it) { it.balancer.waits_for_slots = false; }},
+              [](all_settings& it) { it.balancer.count_slot_wait = false; }},
     mechanism{"way_quality", "failure domains from which streams are held up are dearer",
-              [](all_settings& it) { it.balancer.bad_way_ms = 0; }},
+              [](all_settings& it) { it.balancer.impaired_path_ms = 0; }},
 };
 
 } // namespace
--- a/modules/gateway/src/load_balancer.cpp
+++ b/modules/gateway/src/load_balancer.cpp
@@ -11,16 +11,17 @@
 
 namespace {
 
-/// Probability that the preferred engine (by rendezvous hashing) has a part cached that this
-/// process did not send there.
-constexpr double home_trust = 0.9;
-/// Weight of the newest service time in the running mean.
-constexpr double service_time_weight = 0.1;
+/// Probability that the preferred engine (by rendezvous hashing) has cached a part that this
+/// process has not sent to it.
+constexpr double preferred_hit_probability = 0.9;
+/// Weight of the newest sample in the moving averages of service time and slot time.
+constexpr double sample_weight = 0.1;
 constexpr double micros_per_milli = 1000;
-/// Saturation backoff after a refusal for lack of room.
-constexpr millis full_time{60};
-/// Cost of a backend server on probation or saturated: used only where no other is left.
-constexpr double last_resort_ms = 1e6;
+/// Time for which a backend server that refused a request for lack of capacity is avoided.
+constexpr millis saturation_backoff{60};
+/// Cost of a backend server on probation or saturated: high enough that it is used only where no
+/// other is left.
+constexpr double unavailable_cost_ms = 1e6;
 /// Cost of a failure ratio of 1 above the margin.
 constexpr double failure_cost_ms = 400;
 
@@ -29,14 +30,14 @@
     return hash_bytes(model, part.id);
 }
 
-/// What is left of a weight of 1 after `idle`.
+/// Factor of an exponential decay after `idle`.
 double decay(micros idle, millis half_life)
 {
     return std::exp2(-static_cast<double>(to_millis(idle)) /
                      static_cast<double>(half_life.count()));
 }
 
-/// Parts that requests share: all but the last, which is the request's own.
+/// Parts that other requests may share: all but the last, which is specific to the request.
 std::span<const prompt_part> shared_parts(const job_size& job)
 {
     return job.parts.empty() ? std::span<const prompt_part>{}
@@ -52,15 +53,15 @@
 {
 }
 
-void load_balancer::set_options(std::span<const backend_entry* const> candidates)
+void load_balancer::collect_candidates(std::span<const backend_entry* const> candidates)
 {
-    options_.clear();
+    candidates_.clear();
     for (const auto* it : candidates) {
-        options_.push_back({it, &loads_[it->record.id]});
+        candidates_.push_back({it, &loads_[it->record.id]});
     }
 }
 
-void load_balancer::set_part_keys(const job_size& job)
+void load_balancer::compute_part_keys(const job_size& job)
 {
     part_keys_.clear();
     for (const auto& part : shared_parts(job)) {
@@ -68,12 +69,12 @@
     }
 }
 
-const backend_entry* load_balancer::home() const
+const backend_entry* load_balancer::preferred_engine() const
 {
     const backend_entry* out = nullptr;
     std::uint64_t highest = 0;
-    for (const auto& it : options_) {
-        if (part_keys_.empty() || !settings_.home_by_hash) {
+    for (const auto& it : candidates_) {
+        if (part_keys_.empty() || !settings_.use_rendezvous_hashing) {
             break;
         }
         const std::uint64_t rank = hash_bytes(it.entry->record.id, part_keys_.back());
@@ -85,17 +86,18 @@
     return out;
 }
 
-double load_balancer::cached_tokens(const backend_load& load, const job_size& job, bool is_home,
-                                    instant now) const
+double load_balancer::cached_tokens(const backend_load& load, const job_size& job,
+                                    bool is_preferred, instant now) const
 {
     double out = 0;
     for (std::size_t n = 0; n < part_keys_.size(); ++n) {
         const auto used = load.parts.find(part_keys_[n]);
-        const bool kept = used != load.parts.end() && now < used->second + settings_.prefix_memory;
-        if (!kept && !is_home) {
-            return out; // parts after one that is not cached are prefilled too
+        const bool cached =
+            used != load.parts.end() && now < used->second + settings_.prefix_memory;
+        if (!cached && !is_preferred) {
+            return out; // a prefix cache cannot be used beyond its first missing part
         }
-        out += job.parts[n].tokens * (kept ? 1.0 : home_trust);
+        out += job.parts[n].tokens * (cached ? 1.0 : preferred_hit_probability);
     }
     return out;
 }
@@ -105,66 +107,68 @@
     constexpr double thousand = 1000;
     const double fresh = std::max(0.0, job.prompt_tokens - cached) / thousand;
     const double all = job.prompt_tokens / thousand;
-    return job.pace *
-           (fresh * thousand / settings_.prompt_tokens_per_ms + settings_.square_ms * fresh * all);
+    return job.pace * (fresh * thousand / settings_.prompt_tokens_per_ms +
+                       settings_.quadratic_prefill_ms * fresh * all);
 }
 
-double load_balancer::cost_ms(const option& at, const job_size& job, const comparison& all,
+double load_balancer::cost_ms(const candidate& at, const job_size& job, const baseline& base,
                               instant now) const
 {
     const backend_entry& it = *at.entry;
     const backend_load& load = *at.load;
-    const remote_load& others = load.others;
-    const double running = load.requests + others.requests;
+    const remote_load& remote = load.remote;
+    const double running = load.requests + remote.requests;
     const double slots = std::max<std::uint32_t>(1, it.record.slots);
     double out = it.record.failure_domain == own_domain_ ? 0 : settings_.other_domain_ms;
     if (job.prompt_tokens > 0) {
-        out += settings_.bad_way_ms * ways_.excess(it.record.failure_domain, now);
-        const double reading = load.prefill_ms + others.prefill_ms + prefill_ms(job, 0);
-        const double noticed = std::max(0.0, reading - settings_.unnoticed_reading_ms);
-        out += reading;
-        out += running * (settings_.stream_ms + settings_.held_up_ms * noticed);
-        if (settings_.waits_for_slots && running >= slots) {
+        out += settings_.impaired_path_ms * path_quality_.excess(it.record.failure_domain, now);
+        const double prefill = load.prefill_ms + remote.prefill_ms + prefill_ms(job, 0);
+        const double disruptive = std::max(0.0, prefill - settings_.tolerated_prefill_ms);
+        out += prefill;
+        out += running * (settings_.per_stream_ms + settings_.stream_delay_factor * disruptive);
+        if (settings_.count_slot_wait && running >= slots) {
             out += (running - slots + 1) * slot_ms_ / slots;
         }
     } else {
-        out += expected_service_ms(load, all, now) * (1 + running / slots);
+        out += expected_service_ms(load, base, now) * (1 + running / slots);
     }
-    out += job.suspect ? running * settings_.suspect_beside_ms : 0;
-    out += failure_cost_ms *
-           std::max(0.0, failures_now(load, now) - all.failures - settings_.failure_margin);
+    out += job.suspect ? running * settings_.suspect_concurrency_ms : 0;
+    out += failure_cost_ms * std::max(0.0, decayed_failure_ratio(load, now) - base.failures -
+                                               settings_.failure_margin);
     out += static_cast<double>(it.record.cold_ms) > 0 ? settings_.service_ms : 0;
-    if (now < load.probation_until || now < load.full_until) {
-        out += last_resort_ms;
+    if (now < load.probation_until || now < load.saturated_until) {
+        out += unavailable_cost_ms;
     }
     return out;
 }
 
-double load_balancer::expected_service_ms(const backend_load& load, const comparison& all,
+double load_balancer::expected_service_ms(const backend_load& load, const baseline& base,
                                           instant now) const
 {
     if (load.service_ms <= 0) {
-        return all.service_ms;
+        return base.service_ms;
     }
-    return all.service_ms + (load.service_ms - all.service_ms) *
-                                decay(now - load.asked_at, settings_.service_half_life);
+    return base.service_ms + (load.service_ms - base.service_ms) *
+                                 decay(now - load.last_request_at, settings_.service_half_life);
 }
 
-double load_balancer::failures_now(const backend_load& load, instant now) const
+double load_balancer::decayed_failure_ratio(const backend_load& load, instant now) const
 {
-    const micros idle = now - load.asked_at - settings_.failure_hold;
+    const micros idle = now - load.last_request_at - settings_.failure_hold;
     return load.failure_ratio * decay(std::max(micros{0}, idle), settings_.failure_half_life);
 }
 
-load_balancer::comparison load_balancer::compare(instant now) const
+load_balancer::baseline load_balancer::compute_baseline(instant now) const
 {
-    comparison out;
-    for (const auto& it : options_) {
-        out.failures += failures_now(*it.load, now) / static_cast<double>(options_.size());
-        // One that was never measured counts as the fastest known, or it would not be tried.
-        const double known = it.load->service_ms;
-        if (known > 0 && (out.service_ms == 0 || known < out.service_ms)) {
-            out.service_ms = known;
+    baseline out;
+    for (const auto& it : candidates_) {
+        out.failures +=
+            decayed_failure_ratio(*it.load, now) / static_cast<double>(candidates_.size());
+        // An unmeasured candidate is assumed to be as fast as the fastest known; otherwise it would
+        // never be tried.
+        const double measured = it.load->service_ms;
+        if (measured > 0 && (out.service_ms == 0 || measured < out.service_ms)) {
+            out.service_ms = measured;
         }
     }
     if (out.service_ms == 0) {
@@ -177,20 +181,22 @@
                                            const job_size& job, std::span<const std::string> tried,
                                            instant now)
 {
-    set_options(candidates);
-    set_part_keys(job);
-    const auto* const at_home = home();
-    const comparison all = compare(now);
-    const double token_ms = settings_.prefix_weight * job.pace / settings_.prompt_tokens_per_ms;
+    collect_candidates(candidates);
+    compute_part_keys(job);
+    const auto* const preferred = preferred_engine();
+    const baseline base = compute_baseline(now);
+    const double cached_token_value_ms =
+        settings_.prefix_weight * job.pace / settings_.prompt_tokens_per_ms;
     const backend_entry* best = nullptr;
     double lowest = std::numeric_limits<double>::max();
-    for (const auto& it : options_) {
+    for (const auto& it : candidates_) {
         if (std::find(tried.begin(), tried.end(), it.entry->record.id) != tried.end()) {
             continue;
         }
-        double cost = cost_ms(it, job, all, now);
-        cost -= token_ms * cached_tokens(*it.load, job, it.entry == at_home, now);
-        // Random tie-breaking: processes with the same reports do not all choose the same.
+        double cost = cost_ms(it, job, base, now);
+        cost -= cached_token_value_ms * cached_tokens(*it.load, job, it.entry == preferred, now);
+        // Random tie-breaking, because processes with the same reports would otherwise all choose
+        // the same backend server.
         cost += unit_random(random_);
         if (cost < lowest) {
             lowest = cost;
@@ -204,7 +210,7 @@
                                              instant now)
 {
     backend_load& load = loads_[on.record.id];
-    set_part_keys(job);
+    compute_part_keys(job);
     const double cached = cached_tokens(load, job, false, now);
     for (const auto key : part_keys_) {
         load.parts[key] = now;
@@ -215,45 +221,46 @@
                       [&](const auto& it) { return now > it.second + settings_.prefix_memory; });
     }
     load.requests += 1;
-    load.failure_ratio = failures_now(load, now);
-    load.service_trust *=
-        decay(now - std::exchange(load.asked_at, now), settings_.service_half_life);
-    const double reading = prefill_ms(job, cached);
-    load.prefill_ms += reading;
+    load.failure_ratio = decayed_failure_ratio(load, now);
+    load.service_weight *=
+        decay(now - std::exchange(load.last_request_at, now), settings_.service_half_life);
+    const double prefill = prefill_ms(job, cached);
+    load.prefill_ms += prefill;
     changed_(on.record.id, {load.requests, load.prefill_ms});
     if (load.probation_until > now) {
-        load.probation_until = now + settings_.longest_probation; // one try at a time
+        // One attempt at a time while on probation.
+        load.probation_until = now + settings_.longest_probation;
     }
-    return {on.record.id, reading, job.prompt_tokens > 0, false, now, on.record.failure_domain,
+    return {on.record.id, prefill, job.prompt_tokens > 0, false, now, on.record.failure_domain,
             false};
 }
 
 void load_balancer::on_first_event(ticket& it, instant now)
 {
-    if (it.first_seen) {
+    if (it.has_first_event) {
         return;
     }
-    it.first_seen = true;
-    it.first_at = now;
+    it.has_first_event = true;
+    it.first_event_at = now;
     backend_load& load = loads_[it.backend];
     load.prefill_ms = std::max(0.0, load.prefill_ms - it.prefill_ms);
     changed_(it.backend, {load.requests, load.prefill_ms});
-    load.misses = 0;
+    load.consecutive_unreachable = 0;
     load.probation_until = {};
     if (!it.streaming) {
         const double took = static_cast<double>((now - it.started).count()) / micros_per_milli;
-        const double weight = 1 - (1 - service_time_weight) * load.service_trust;
+        const double weight = 1 - (1 - sample_weight) * load.service_weight;
         load.service_ms =
             load.service_ms == 0 ? took : load.service_ms + weight * (took - load.service_ms);
-        load.service_trust = 1;
+        load.service_weight = 1;
     }
 }
 
 void load_balancer::on_stream_events(ticket& it, std::uint64_t events, micros gap, instant now)
 {
-    if (ways_.is_stall(gap, events)) {
-        it.held_up = true;
-        ways_.saw(it.failure_domain, true, now);
+    if (path_quality_.is_stall(gap, events)) {
+        it.delayed = true;
+        path_quality_.saw(it.failure_domain, true, now);
     }
 }
 
@@ -261,35 +268,37 @@
 {
     backend_load& load = loads_[it.backend];
     load.requests = std::max(0.0, load.requests - 1);
-    if (!it.first_seen) {
+    if (!it.has_first_event) {
         load.prefill_ms = std::max(0.0, load.prefill_ms - it.prefill_ms);
     }
     changed_(it.backend, {load.requests, load.prefill_ms});
-    if (it.streaming && it.first_seen) {
-        const double kept = static_cast<double>((now - it.first_at).count()) / micros_per_milli;
-        slot_ms_ += service_time_weight * (kept - slot_ms_);
-        if (!it.held_up) {
-            ways_.saw(it.failure_domain, false, now);
+    if (it.streaming && it.has_first_event) {
+        const double occupied_ms =
+            static_cast<double>((now - it.first_event_at).count()) / micros_per_milli;
+        slot_ms_ += sample_weight * (occupied_ms - slot_ms_);
+        if (!it.delayed) {
+            path_quality_.saw(it.failure_domain, false, now);
         }
     }
-    const auto learn = [&](double failed) {
+    const auto record_outcome = [&](double failed) {
         load.failure_ratio += settings_.failure_weight * (failed - load.failure_ratio);
     };
     switch (how) {
     case attempt_result::answered:
-        learn(0);
+        record_outcome(0);
         break;
     case attempt_result::failed:
-        learn(1);
+        record_outcome(1);
         break;
     case attempt_result::refused:
-        load.full_until = now + full_time;
+        load.saturated_until = now + saturation_backoff;
         break;
     case attempt_result::unreachable: {
-        learn(1);
-        const auto grown = settings_.first_probation * (1U << std::min(load.misses, 5U));
+        record_outcome(1);
+        const auto grown =
+            settings_.first_probation * (1U << std::min(load.consecutive_unreachable, 5U));
         load.probation_until = now + std::min(grown, settings_.longest_probation);
-        ++load.misses;
+        ++load.consecutive_unreachable;
         break;
     }
     case attempt_result::dropped:
@@ -304,12 +313,12 @@
         return millis{0};
     }
     const backend_load& load = found->second;
-    return millis{static_cast<std::int64_t>(load.prefill_ms + load.others.prefill_ms)};
+    return millis{static_cast<std::int64_t>(load.prefill_ms + load.remote.prefill_ms)};
 }
 
-void load_balancer::set_remote_load(const std::string& backend, const remote_load& others)
+void load_balancer::set_remote_load(const std::string& backend, const remote_load& remote)
 {
-    loads_[backend].others = settings_.heeds_others ? others : remote_load{};
+    loads_[backend].remote = settings_.use_remote_load ? remote : remote_load{};
 }
 
 void load_balancer::forget(const std::string& backend)
--- a/modules/gateway/tests/decision_settings_test.cpp
+++ b/modules/gateway/tests/decision_settings_test.cpp
@@ -22,7 +22,7 @@
 {
     decision_settings settings;
     find_mechanism("way_quality")->switch_off(settings);
-    BOOST_TEST(settings.balancer.bad_way_ms == 0);
+    BOOST_TEST(settings.balancer.impaired_path_ms == 0);
     find_mechanism("middle_model")->switch_off(settings);
     const model_choice models{settings.models};
     route_spec route;
--- a/modules/gateway/tests/load_balancer_test.cpp
+++ b/modules/gateway/tests/load_balancer_test.cpp
@@ -1,4 +1,5 @@
-/// Placement under load patterns in which an engine's streams or the way to it suffer.
+/// Tests placement when prefill or the network path delays an engine's streams, and how backend
+/// servers that were slow or failed are measured again.
 
 #include "hickorypost/gateway/load_balancer.h"
 
@@ -11,9 +12,9 @@
 
 const instant start{millis{100'000}};
 
-/// Engines e0, e1 and so on of failure domain `a`, and a process in that domain.
-struct some_engines {
-    explicit some_engines(int engines)
+/// Engines e0, e1, ... in failure domain `a`, and a balancer in the same domain.
+struct engine_pool {
+    explicit engine_pool(int engines)
     {
         for (int n = 0; n < engines; ++n) {
             add("e" + std::to_string(n), "a");
@@ -34,8 +35,8 @@
     load_balancer balancer{{}, "a", seeded_random_fn(3), [](const auto&, const auto&) {}};
 };
 
-/// Plain backend servers e0 and e1, which get a request each 50 ms and answer in 12 ms.
-struct two_plain_backends {
+/// Plain backend servers e0 and e1 under one request every 50 ms, answered in 12 ms.
+struct plain_backend_pair {
     void run(const std::string& id, attempt_result how)
     {
         auto it = servers.balancer.started(*servers.directory.find(id), {}, now);
@@ -44,7 +45,7 @@
         servers.balancer.ended(it, how, now);
         now += millis{38};
     }
-    /// Sends `n` requests; returns how many went to e0.
+    /// Sends `n` requests and returns how many went to e0.
     int ask(int n, const std::function<attempt_result(const std::string&)>& how)
     {
         int out = 0;
@@ -59,7 +60,7 @@
         return out;
     }
 
-    some_engines servers{2};
+    engine_pool servers{2};
     instant now = start;
     std::uint64_t sequence = 1;
 };
@@ -75,33 +76,34 @@
 
 BOOST_AUTO_TEST_SUITE(placement)
 
-// One engine runs 30 streams, the other has a prompt of 300 ms to read and few streams. A prompt
-// comes that takes seconds. Placed where the reading begins soonest it makes 30 callers wait past
-// their longest pause; placed at the other it makes four wait, and comes 0.3 s later itself.
-BOOST_AUTO_TEST_CASE(a_long_prompt_goes_where_it_holds_up_few_streams)
+// Guards against placing a prompt whose prefill takes seconds by earliest start alone. On the
+// engine with 30 streams it starts at once but delays 30 callers beyond their longest acceptable
+// pause; on the one with 4 streams and 300 ms of pending prefill it delays four and starts 0.3 s
+// later.
+BOOST_AUTO_TEST_CASE(long_prompt_is_placed_where_it_delays_few_streams)
 {
-    some_engines engines{2};
+    engine_pool engines{2};
     engines.balancer.set_remote_load("e0", {30, 0});
     engines.balancer.set_remote_load("e1", {4, 300});
     BOOST_TEST(engines.choose(prompt(100'000)) == "e1");
-    // A short one is hardly noticed by those who run, and does not wait.
+    // A short prompt hardly delays running streams, so it goes where prefill starts first.
     BOOST_TEST(engines.choose(prompt(2'000)) == "e0");
 }
 
-// The links of domain `b` lose packets: each stream from there stands still now and then, while its
-// engine looks as idle as the others. Work stays in the own domain although that is the busier one,
-// and goes back once a while has passed without word of stalls.
-BOOST_AUTO_TEST_CASE(work_leaves_a_domain_from_which_streams_are_held_up)
+// Packet loss on the links of domain `b` stalls its streams, although its engine reports less load
+// than the local one. Guards against ignoring these stalls, and against avoiding the domain after
+// they have ended.
+BOOST_AUTO_TEST_CASE(domain_with_stalled_streams_is_avoided_until_stalls_end)
 {
-    some_engines engines{1};
+    engine_pool engines{1};
     engines.add("far", "b");
     engines.balancer.set_remote_load("e0", {20, 0});
     const job_size job = prompt(500);
     BOOST_REQUIRE(engines.choose(job) == "far");
-    const auto stream = [&](const std::string& id, bool held_up) {
+    const auto stream = [&](const std::string& id, bool stalled) {
         auto it = engines.balancer.started(*engines.directory.find(id), job, start);
         engines.balancer.on_first_event(it, start);
-        engines.balancer.on_stream_events(it, held_up ? 5 : 1, millis{220}, start);
+        engines.balancer.on_stream_events(it, stalled ? 5 : 1, millis{220}, start);
         engines.balancer.ended(it, attempt_result::answered, start);
     };
     for (int n = 0; n < 5; ++n) {
@@ -112,12 +114,12 @@
     BOOST_TEST(engines.choose(job, start + millis{20'000}) == "far");
 }
 
-// Two equal plain backend servers, one request at a time. One answer of the first takes 45 ms
-// instead of 12 by chance. Both are idle then, and the other is a few milliseconds faster by its
-// mean: it got every later request, and the first stood idle though it is as fast.
-BOOST_AUTO_TEST_CASE(an_idle_backend_server_that_was_slow_once_is_measured_again)
+// Two equal plain backend servers get one request at a time, and one answer of the first takes 60
+// ms instead of 12 ms by chance. Guards against sending every later request to the second because
+// its mean service time is a few milliseconds lower.
+BOOST_AUTO_TEST_CASE(idle_backend_server_is_measured_again_after_one_slow_answer)
 {
-    some_engines servers{2};
+    engine_pool servers{2};
     instant now = start;
     const auto ask = [&](millis took) {
         std::string id = servers.choose({}, now);
@@ -145,11 +147,11 @@
     BOOST_TEST(again > 10);
 }
 
-// Guards against a backend server that stays unused after a series of failures.
+// Guards against never using a backend server again after a series of failures.
 BOOST_AUTO_TEST_CASE(backend_that_failed_is_measured_again)
 {
     constexpr int failures = 10;
-    two_plain_backends it;
+    plain_backend_pair it;
     for (int n = 0; n < failures; ++n) {
         it.run("e0", attempt_result::failed);
     }
@@ -157,11 +159,11 @@
     BOOST_TEST(it.ask(200, [](const auto&) { return attempt_result::answered; }) > 20);
 }
 
-// Guards against measuring a backend server again at the cost of its requests.
+// Guards against losing many requests to a failing backend server by measuring it too often.
 BOOST_AUTO_TEST_CASE(backend_that_always_fails_gets_few_requests)
 {
     constexpr int requests = 1200; // one minute
-    two_plain_backends it;
+    plain_backend_pair it;
     const int failed = it.ask(requests, [](const std::string& id) {
         return id == "e0" ? attempt_result::failed : attempt_result::answered;
     });
@@ -169,11 +171,11 @@
     BOOST_TEST(failed < requests / 20);
 }
 
-// One of two plain backend servers takes five times as long for good. It is measured again now and
-// then, and nearly all requests go to the other.
-BOOST_AUTO_TEST_CASE(a_slow_backend_server_is_measured_seldom)
+// One of two plain backend servers is permanently five times slower. Guards against measuring it
+// too often, and against never measuring it again.
+BOOST_AUTO_TEST_CASE(slow_backend_server_is_measured_rarely)
 {
-    some_engines servers{2};
+    engine_pool servers{2};
     instant now = start;
     int slow = 0;
     for (int n = 0; n < 400; ++n) { // twenty seconds
