--- a/modules/gateway/include/hickorypost/gateway/model_choice.h
+++ b/modules/gateway/include/hickorypost/gateway/model_choice.h
@@ -12,89 +12,96 @@
 namespace hickorypost::gateway {
 
 struct model_choice_settings {
-    /// An answer of which its model is less sure than this is asked for again of a larger one,
-    /// while engines answer quickly.
-    double calm_confidence = 0.5;
-    /// The same where a middle model is likely to be sure enough, which costs half as much. Under
-    /// pressure it falls to `calm_confidence`.
-    double middle_confidence = 0.6;
-    /// The same when they are slow. A larger model takes several times an engine's time: asked for
-    /// as often as in calm times it makes everybody late.
-    double pressed_confidence = 0.3;
-    /// First events within this part of their target count as quick, beyond the other as slow.
-    double calm_part = 0.15;
-    double pressed_part = 0.4;
-    /// Weight of the newest first event in the running mean.
-    double weight = 0.05;
-    /// How much surer the next larger model is taken to be of the same request before any was asked
-    /// twice. Too high, a middle model is tried in vain a few times; too low, it is never tried.
-    double first_gain = 0.1;
-    /// Weight of the newest pair of answers in the learned gain.
+    /// An answer with a lower confidence is escalated to a larger model while first-event latency
+    /// is low.
+    double min_confidence = 0.5;
+    /// The same threshold where a middle model is likely to reach `min_confidence`, which costs
+    /// half as much as the largest model. It falls to `min_confidence` as latency rises.
+    double min_confidence_before_middle = 0.6;
+    /// The threshold for the largest model while latency is high. A larger model takes several
+    /// times the engine time; escalating as often as under low load would make all requests late.
+    double min_confidence_under_load = 0.3;
+    /// Mean first-event latency, as a ratio of the route's target: up to `low_latency_ratio` it
+    /// counts as low, from `high_latency_ratio` as high.
+    double low_latency_ratio = 0.15;
+    double high_latency_ratio = 0.4;
+    /// Weight of the newest sample in the moving average of first-event latency.
+    double latency_weight = 0.05;
+    /// Assumed gain in confidence of a larger model on the same request, until a pair of answers
+    /// was recorded. If too high, a middle model is tried a few times without benefit; if too low,
+    /// it is never tried.
+    double initial_gain = 0.1;
+    /// Weight of the newest pair of answers in the moving average of the gain.
     double gain_weight = 0.05;
-    /// What an answer that comes after its target is worth to a caller, against one in time.
-    double late_part = 0.3;
-    bool uses_middle = true;     ///< models between the smallest and the largest are asked
-    bool feels_pressure = true;  ///< less is asked of larger models while first events are slow
-    bool weighs_time = true;     ///< an answer must be likely to be whole in time
-    bool weighs_lateness = true; ///< an answer that would be late is asked for only in need
+    /// Value to a caller of an answer after its target, relative to one within it.
+    double late_answer_value = 0.3;
+    bool use_middle_models = true; ///< escalate to models between the smallest and the largest
+    bool adapt_to_latency = true;  ///< escalate less while first-event latency is high
+    bool check_deadline = true;    ///< require that the answer is likely complete by the deadline
+    bool check_target = true;      ///< escalate beyond the target only for very low confidence
 };
 
-/// An answer of one of a route's models, of which only the head has come.
+/// The head of an answer from one of a route's models, with the state of its request.
 struct model_answer {
     const route_spec& route;
-    std::size_t rank = 0;  ///< of its model, 0 for the smallest
+    std::size_t rank = 0;  ///< of the answering model, 0 for the smallest
     double confidence = 0; ///< 0 to 1
-    millis spent{0};       ///< of the request's time
-    millis left{0};
-    /// Attempts that the route still allows.
+    millis elapsed{0};     ///< since the request's start
+    millis remaining{0};   ///< until the request's deadline
+    /// Further attempts that the route allows.
     std::uint32_t attempts_left = 2;
-    /// Milliseconds to read the prompt with each of the route's models.
+    /// Estimated prefill time in milliseconds with each of the route's models, by rank.
     std::span<const double> prefill_ms;
 };
 
-/// Which of a route's models answers a request that leaves the choice to the gateway.
+/// Chooses which of a route's models answers a request whose caller names no model: the request
+/// starts at the smallest model and is escalated while confidence is too low.
 class model_choice {
 public:
     explicit model_choice(model_choice_settings settings) : settings_{settings} {}
 
-    /// Rank of the model to begin with, 0 for the smallest.
+    /// Rank of the first model to send the request to, 0 for the smallest.
     [[nodiscard]] std::size_t first(const route_spec& route) const;
-    /// Rank of the model to go on with; the same rank if the answer will do or no larger model can
-    /// help in the time that is left. A model between is chosen where it is likely to be sure
-    /// enough: it takes a fraction of the largest one's engine time and cost.
+    /// Rank of the model to continue with. It equals `answer.rank` if the answer is accepted,
+    /// because its confidence suffices or no larger model can improve it in the remaining time. A
+    /// middle model is preferred where it is likely to reach the required confidence, because it
+    /// takes a fraction of the largest model's engine time and cost.
     [[nodiscard]] std::size_t after(const model_answer& answer) const;
-    /// What runs took on each route, by model.
+    /// Statistics of run times, by route and model.
     [[nodiscard]] run_times& times() noexcept { return times_; }
-    /// Two models answered the same request: how sure each was.
+    /// Records the confidences of two models that answered the same request.
     void record_confidence_pair(const std::string& smaller, double smaller_confidence,
                                 const std::string& larger, double larger_confidence);
-    /// A first event came `part` of the route's target after the request.
-    void record_first_event(double part);
-    /// The confidence that an answer needs now, or the largest model is asked.
-    [[nodiscard]] double least_confidence() const;
-    /// The same where a middle model may do.
-    [[nodiscard]] double least_before_middle() const;
-    /// How much slower a model is than the middle one, from what the operators say it costs.
+    /// Records the latency of a first event as a ratio of the route's target.
+    void record_first_event(double latency_ratio);
+    /// The confidence below which an answer is escalated to the largest model at current latency.
+    [[nodiscard]] double required_confidence() const;
+    /// The confidence below which an answer is escalated to a middle model at current latency.
+    [[nodiscard]] double required_confidence_before_middle() const;
+    /// Slowdown of a model against a reference model, derived from the costs in the configuration;
+    /// 1 if the model's cost is not configured.
     [[nodiscard]] static double pace(const engine_spec& engine, const std::string& model);
 
 private:
-    /// 0 while first events come quickly, 1 when they are slow.
+    /// 0 while first-event latency is low, 1 when it is high, linear in between.
     [[nodiscard]] double pressure() const;
-    /// How sure `larger` is likely to be of a request of which `smaller` was sure by `confidence`.
-    [[nodiscard]] double expected(const std::string& smaller, double confidence,
-                                  const std::string& larger) const;
+    /// Expected confidence of `larger` in a request that `smaller` answered with `confidence`.
+    [[nodiscard]] double expected_confidence(const std::string& smaller, double confidence,
+                                             const std::string& larger) const;
 
-    /// Whether an answer of that model is likely to be whole in the time that is left.
-    [[nodiscard]] bool whole_in_time(const model_answer& answer, std::size_t rank) const;
-    /// Whether it is likely to begin within the route's target, or the target is past anyway.
-    [[nodiscard]] bool on_target(const model_answer& answer, std::size_t rank) const;
-    /// The middle model that most likely does better where the largest one would be late.
-    [[nodiscard]] std::size_t best_in_time(const model_answer& answer) const;
+    /// Whether an answer of the model with this rank is likely to be complete by the deadline.
+    [[nodiscard]] bool fits_deadline(const model_answer& answer, std::size_t rank) const;
+    /// Whether its first event is likely to meet the route's target, or the target has passed
+    /// already.
+    [[nodiscard]] bool meets_target(const model_answer& answer, std::size_t rank) const;
+    /// Rank of the middle model with the highest expected confidence that meets target
+    /// and deadline; `answer.rank` if none is expected to improve on the answer.
+    [[nodiscard]] std::size_t best_middle_on_target(const model_answer& answer) const;
 
     model_choice_settings settings_;
     run_times times_{{}};
-    std::map<std::pair<std::string, std::string>, double> gains_; ///< by smaller and larger model
-    double first_part_ = 0; ///< running mean of `record_first_event`
+    std::map<std::pair<std::string, std::string>, double> gains_; ///< by (smaller, larger) model
+    double mean_latency_ratio_ = 0;                               ///< moving average
 };
 
 } // namespace hickorypost::gateway
--- a/modules/gateway/src/decision_settings.cpp
+++ b/modules/gateway/src/decision_settings.cpp
@@ -23,11 +23,11 @@
     mechanism{"home_engine", "prompts with shared parts meet on one engine by hashing",
               [](all_settings& it) { it.balancer.use_rendezvous_hashing = false; }},
     mechanism{"late_answers", "a larger model that would be late is asked only in need",
-              [](all_settings& it) { it.models.weighs_lateness = false; }},
+              [](all_settings& it) { it.models.check_target = false; }},
     mechanism{"liveness_probe", "engines whose responses have stalled are probed",
               [](all_settings& it) { it.exchange.probe_silent_backends = false; }},
     mechanism{"middle_model", "models between the smallest and the largest",
-              [](all_settings& it) { it.models.uses_middle = false; }},
+              [](all_settings& it) { it.models.use_middle_models = false; }},
     mechanism{"other_hosts_work", "what other processes have on backend servers",
               [](all_settings& it) { it.balancer.use_remote_load = false; }},
     mechanism{"own_domain", "backend servers of the own failure domain first",
@@ -38,7 +38,7 @@
     mechanism{"prefix_memory", "which engine has lately read a prompt's parts",
               [](all_settings& it) { it.balancer.prefix_memory = millis{0}; }},
     mechanism{"pressure", "larger models are asked less while first events are slow",
-              [](all_settings& it) { it.models.feels_pressure = false; }},
+              [](all_settings& it) { it.models.adapt_to_latency = false; }},
     mechanism{"probation", "backend servers that cannot be reached are left alone for a while",
               [](all_settings& it) {
                   it.balancer.first_probation = millis{0};
@@ -47,7 +47,7 @@
     mechanism{"resume", "broken streams go on at another backend server",
               [](all_settings& it) { it.exchange.resumes = false; }},
     mechanism{"run_times", "a larger model is asked only if its answer will be whole in time",
-              [](all_settings& it) { it.models.weighs_time = false; }},
+              [](all_settings& it) { it.models.check_deadline = false; }},
     mechanism{"silence", "a silent backend server is left before the request's time is over",
               [](all_settings& it) {
                   it.exchange.silence_factor = never;
--- a/modules/gateway/src/load_balancer.cpp
+++ b/modules/gateway/src/load_balancer.cpp
@@ -22,7 +22,7 @@
 /// Cost of a backend server on probation or saturated: high enough that it is used only where no
 /// other is left.
 constexpr double unavailable_cost_ms = 1e6;
-/// Cost of a failure ratio of 1 above the margin.
+/// Cost of a failure ratio that exceeds the margin by 1.
 constexpr double failure_cost_ms = 400;
 
 std::uint64_t part_key(const prompt_part& part, const std::string& model)
--- a/modules/gateway/src/model_choice.cpp
+++ b/modules/gateway/src/model_choice.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-/// Pace of an engine's dearest model. Larger models cost more because they take more of an engine's
-/// time, so the proportions of their costs tell their pace.
-constexpr double largest_pace = 3;
-constexpr double least_pace = 0.2;
+/// Pace of an engine's most expensive model. Larger models cost more because they take more engine
+/// time, so the ratio of two costs approximates the ratio of the paces.
+constexpr double max_pace = 3;
+constexpr double min_pace = 0.2;
 
 } // namespace
 
@@ -27,100 +27,103 @@
         return answer.rank;
     }
     const double confidence = answer.confidence;
-    const bool middle = settings_.uses_middle && confidence < least_before_middle();
+    const bool middle =
+        settings_.use_middle_models && confidence < required_confidence_before_middle();
     for (std::size_t next = answer.rank + 1; middle && next < largest; ++next) {
-        const double likely = expected(models[answer.rank], confidence, models[next]);
-        if (likely >= settings_.calm_confidence && whole_in_time(answer, next) &&
-            on_target(answer, next)) {
+        const double estimate = expected_confidence(models[answer.rank], confidence, models[next]);
+        if (estimate >= settings_.min_confidence && fits_deadline(answer, next) &&
+            meets_target(answer, next)) {
             return next;
         }
     }
-    if (confidence >= least_confidence()) {
+    if (confidence >= required_confidence()) {
         return answer.rank;
     }
-    if (on_target(answer, largest)) {
-        return whole_in_time(answer, largest) ? largest : answer.rank;
+    if (meets_target(answer, largest)) {
+        return fits_deadline(answer, largest) ? largest : answer.rank;
     }
-    if (const auto next = best_in_time(answer); next != answer.rank) {
+    if (const auto next = best_middle_on_target(answer); next != answer.rank) {
         return next;
     }
-    // Asked of the largest model the answer would come late; the one that is there is in time.
-    const bool useless = confidence < least_confidence() * settings_.late_part;
-    return useless && whole_in_time(answer, largest) ? largest : answer.rank;
+    // The largest model would miss the target, while the present answer is in time. Escalate only
+    // if the present answer is worth less than a late one.
+    const bool worthless = confidence < required_confidence() * settings_.late_answer_value;
+    return worthless && fits_deadline(answer, largest) ? largest : answer.rank;
 }
 
-std::size_t model_choice::best_in_time(const model_answer& answer) const
+std::size_t model_choice::best_middle_on_target(const model_answer& answer) const
 {
     const auto& models = answer.route.models;
     std::size_t out = answer.rank;
     double best = answer.confidence;
-    for (std::size_t next = answer.rank + 1; settings_.uses_middle && next + 1 < models.size();
-         ++next) {
-        const double likely = expected(models[answer.rank], answer.confidence, models[next]);
-        if (likely > best && whole_in_time(answer, next) && on_target(answer, next)) {
+    for (std::size_t next = answer.rank + 1;
+         settings_.use_middle_models && next + 1 < models.size(); ++next) {
+        const double estimate =
+            expected_confidence(models[answer.rank], answer.confidence, models[next]);
+        if (estimate > best && fits_deadline(answer, next) && meets_target(answer, next)) {
             out = next;
-            best = likely;
+            best = estimate;
         }
     }
     return out;
 }
 
-bool model_choice::whole_in_time(const model_answer& answer, std::size_t rank) const
+bool model_choice::fits_deadline(const model_answer& answer, std::size_t rank) const
 {
     const auto& route = answer.route;
-    return !settings_.weighs_time ||
-           static_cast<double>(answer.left.count()) >=
+    return !settings_.check_deadline ||
+           static_cast<double>(answer.remaining.count()) >=
                times_.whole_ms(route.name, route.models[rank], answer.prefill_ms[rank]);
 }
 
-bool model_choice::on_target(const model_answer& answer, std::size_t rank) const
+bool model_choice::meets_target(const model_answer& answer, std::size_t rank) const
 {
     const auto& route = answer.route;
-    const auto left = static_cast<double>((route.target_latency - answer.spent).count());
-    return !settings_.weighs_lateness || left <= 0 ||
-           left >= times_.first_ms(route.models[rank], answer.prefill_ms[rank]);
+    const auto remaining = static_cast<double>((route.target_latency - answer.elapsed).count());
+    return !settings_.check_target || remaining <= 0 ||
+           remaining >= times_.first_ms(route.models[rank], answer.prefill_ms[rank]);
 }
 
-double model_choice::expected(const std::string& smaller, double confidence,
-                              const std::string& larger) const
+double model_choice::expected_confidence(const std::string& smaller, double confidence,
+                                         const std::string& larger) const
 {
     const auto known = gains_.find({smaller, larger});
-    return confidence + (known == gains_.end() ? settings_.first_gain : known->second);
+    return confidence + (known == gains_.end() ? settings_.initial_gain : known->second);
 }
 
 void model_choice::record_confidence_pair(const std::string& smaller, double smaller_confidence,
                                           const std::string& larger, double larger_confidence)
 {
-    // At the ends of the scale the difference is cut off and says little.
+    // At the ends of the scale confidences are clipped, so the difference is not meaningful.
     if (smaller_confidence <= 0 || larger_confidence >= 1) {
         return;
     }
-    auto& gain = gains_.try_emplace({smaller, larger}, settings_.first_gain).first->second;
+    auto& gain = gains_.try_emplace({smaller, larger}, settings_.initial_gain).first->second;
     gain += settings_.gain_weight * (larger_confidence - smaller_confidence - gain);
 }
 
-void model_choice::record_first_event(double part)
+void model_choice::record_first_event(double latency_ratio)
 {
-    first_part_ += settings_.weight * (part - first_part_);
+    mean_latency_ratio_ += settings_.latency_weight * (latency_ratio - mean_latency_ratio_);
 }
 
 double model_choice::pressure() const
 {
-    if (!settings_.feels_pressure) {
+    if (!settings_.adapt_to_latency) {
         return 0;
     }
-    const double span = settings_.pressed_part - settings_.calm_part;
-    return std::clamp((first_part_ - settings_.calm_part) / span, 0.0, 1.0);
+    const double span = settings_.high_latency_ratio - settings_.low_latency_ratio;
+    return std::clamp((mean_latency_ratio_ - settings_.low_latency_ratio) / span, 0.0, 1.0);
 }
 
-double model_choice::least_confidence() const
+double model_choice::required_confidence() const
 {
-    return std::lerp(settings_.calm_confidence, settings_.pressed_confidence, pressure());
+    return std::lerp(settings_.min_confidence, settings_.min_confidence_under_load, pressure());
 }
 
-double model_choice::least_before_middle() const
+double model_choice::required_confidence_before_middle() const
 {
-    return std::lerp(settings_.middle_confidence, settings_.calm_confidence, pressure());
+    return std::lerp(settings_.min_confidence_before_middle, settings_.min_confidence, pressure());
 }
 
 double model_choice::pace(const engine_spec& engine, const std::string& model)
@@ -131,7 +134,7 @@
         highest = std::max(highest, it.cost);
         own = it.name == model ? it.cost : own;
     }
-    return own <= 0 ? 1 : std::max(least_pace, largest_pace * own / highest);
+    return own <= 0 ? 1 : std::max(min_pace, max_pace * own / highest);
 }
 
 } // namespace hickorypost::gateway
--- a/modules/gateway/tests/model_choice_test.cpp
+++ b/modules/gateway/tests/model_choice_test.cpp
@@ -21,16 +21,17 @@
     return out;
 }
 
-/// The rank to go on with after an answer on the route of three.
+/// Rank chosen by `model_choice::after` on a route of three models.
 std::size_t after(const model_choice& it, std::size_t rank, double confidence, millis left = plenty,
                   std::uint32_t attempts_left = 2)
 {
     static const route_spec route = route_of_three();
-    static const std::vector<double> reading{10, 40, 100};
-    return it.after({route, rank, confidence, millis{0}, left, attempts_left, reading});
+    static const std::vector<double> prefill{10, 40, 100};
+    return it.after({route, rank, confidence, millis{0}, left, attempts_left, prefill});
 }
 
-/// Runs with prompts that take 100 and 200 ms to read.
+/// Records 100 runs each with prefill times of 100 and 200 ms. `first` is the time to the first
+/// event at 100 ms, `rest` the time from there to the last event.
 void learn_times(model_choice& it, const std::string& model, millis first, millis rest)
 {
     for (int n = 0; n < 100; ++n) {
@@ -43,16 +44,16 @@
 
 BOOST_AUTO_TEST_SUITE(model_choice_suite)
 
-BOOST_AUTO_TEST_CASE(an_answer_that_its_model_is_sure_of_is_kept)
+BOOST_AUTO_TEST_CASE(answer_with_sufficient_confidence_is_kept)
 {
     const model_choice it{{}};
     BOOST_TEST(after(it, small, 0.6) == small);
     BOOST_TEST(after(it, middle, 0.5) == middle);
 }
 
-// A model that is sure by little more than half is wrong now and then. Another that is a little
-// better costs little while engines are quick; when they are slow it makes others late.
-BOOST_AUTO_TEST_CASE(a_barely_sure_answer_goes_to_the_middle_model_while_engines_are_quick)
+// An answer with a confidence just above one half is sometimes wrong. Escalation to the middle
+// model is cheap at low latency, but delays other requests at high latency.
+BOOST_AUTO_TEST_CASE(answer_just_above_threshold_goes_to_middle_model_only_at_low_latency)
 {
     model_choice it{{}};
     BOOST_TEST(after(it, small, 0.55) == middle);
@@ -62,9 +63,9 @@
     BOOST_TEST(after(it, small, 0.55) == small);
 }
 
-// Requests of all difficulties come. Those that the smallest model nearly answers well are the
-// middle model's; sent to the largest one they would take four times its engine time.
-BOOST_AUTO_TEST_CASE(a_request_that_was_nearly_answered_well_goes_to_the_middle_model)
+// Guards against escalating every answer to the largest model, which takes four times the engine
+// time of the middle model. An answer just below the threshold goes to the middle one.
+BOOST_AUTO_TEST_CASE(answer_just_below_threshold_goes_to_middle_model)
 {
     const model_choice it{{}};
     BOOST_TEST(after(it, small, 0.45) == middle);
@@ -72,8 +73,9 @@
     BOOST_TEST(after(it, middle, 0.45) == large);
 }
 
-// The middle model turns out to be hardly better than the smallest: it is asked no more.
-BOOST_AUTO_TEST_CASE(a_middle_model_that_gains_nothing_is_passed_over)
+// Guards against using a middle model whose measured confidence hardly exceeds the smallest
+// model's.
+BOOST_AUTO_TEST_CASE(middle_model_without_gain_is_skipped)
 {
     model_choice it{{}};
     for (int n = 0; n < 100; ++n) {
@@ -82,19 +84,20 @@
     BOOST_TEST(after(it, small, 0.45) == large);
 }
 
-BOOST_AUTO_TEST_CASE(a_middle_model_that_gains_much_is_asked_more_often)
+BOOST_AUTO_TEST_CASE(middle_model_with_large_gain_is_used_at_lower_confidence)
 {
     model_choice it{{}};
     for (int n = 0; n < 100; ++n) {
         it.record_confidence_pair("small", 0.3, "middle", 0.6);
-        it.record_confidence_pair("small", 0.3, "middle", 1.0); // the end of the scale says little
+        it.record_confidence_pair("small", 0.3, "middle",
+                                  1.0); // clipped at the end of the scale, ignored
     }
     BOOST_TEST(after(it, small, 0.25) == middle);
 }
 
-// Engines are slow, first events come near their targets. The largest model is asked less, as it
-// would make everybody late; the middle one hardly adds to the load.
-BOOST_AUTO_TEST_CASE(under_pressure_only_the_largest_model_is_asked_less)
+// First-event latency is near the targets. The largest model is used less, because its load would
+// make all requests late; the middle model adds little load and is still used.
+BOOST_AUTO_TEST_CASE(high_latency_reduces_escalations_to_the_largest_model_only)
 {
     model_choice it{{}};
     for (int n = 0; n < 200; ++n) {
@@ -105,10 +108,10 @@
     BOOST_TEST(after(it, small, 0.2) == large);
 }
 
-// On some routes the target is all the time that callers give. A larger model is asked wherever it
-// is likely to be done in time; counted in whole targets, it was never asked there, and every
-// answer that was too hard for the smallest model was worth nothing to its caller.
-BOOST_AUTO_TEST_CASE(a_larger_model_is_asked_where_its_answer_comes_in_time)
+// On some routes the deadline equals the target. Guards against a rule in whole multiples of the
+// target, which never escalated there and left every answer that was too hard for the smallest
+// model without value to its caller.
+BOOST_AUTO_TEST_CASE(larger_model_is_used_if_its_answer_fits_the_deadline)
 {
     model_choice it{{}};
     learn_times(it, "large", millis{300}, millis{200});
@@ -118,57 +121,56 @@
     BOOST_TEST(after(it, small, 0.1, millis{900}) == small);
 }
 
-BOOST_AUTO_TEST_CASE(a_model_that_was_never_seen_is_taken_for_one_that_reads_as_reckoned)
+BOOST_AUTO_TEST_CASE(unmeasured_model_is_assumed_to_match_the_prefill_estimate)
 {
     const model_choice it{{}};
     BOOST_TEST(after(it, small, 0.1, millis{150}) == large);
     BOOST_TEST(after(it, small, 0.1, millis{90}) == small);
 }
 
-// A very long prompt comes. Read by the largest model it takes longer than the target, and each
-// stream beside it stands still meanwhile. The caller is better served by an answer in time that
-// may do, or by the middle model's, than by a sure one that is late.
-BOOST_AUTO_TEST_CASE(a_prompt_too_long_for_the_largest_model_goes_to_the_middle_one)
+// Prefill of a very long prompt on the largest model exceeds the target and stalls every concurrent
+// stream. Guards against a late answer of high confidence where the present answer or the middle
+// model's would be in time and of more value to the caller.
+BOOST_AUTO_TEST_CASE(prompt_too_long_for_the_largest_model_goes_to_the_middle_model)
 {
     const model_choice it{{}};
     const route_spec route = route_of_three();
-    const std::vector<double> reading{200, 600, 2500};
+    const std::vector<double> prefill{200, 600, 2500};
     const auto on = [&](std::size_t rank, double confidence, millis spent) {
-        return it.after({route, rank, confidence, spent, plenty, 2, reading});
+        return it.after({route, rank, confidence, spent, plenty, 2, prefill});
     };
     BOOST_TEST(on(small, 0.3, millis{200}) == middle);
     BOOST_TEST(on(middle, 0.3, millis{900}) == middle);
-    BOOST_TEST(on(small, 0.3, millis{600}) == small);  // the middle one would be late as well
-    BOOST_TEST(on(small, 0.1, millis{600}) == large);  // hardly of any use: better late
-    BOOST_TEST(on(small, 0.3, millis{1200}) == large); // late whatever is done
+    BOOST_TEST(on(small, 0.3, millis{600}) == small);  // the middle model would be late too
+    BOOST_TEST(on(small, 0.1, millis{600}) == large);  // a late answer is worth more
+    BOOST_TEST(on(small, 0.3, millis{1200}) == large); // the target has passed already
 }
 
-// The last attempt that a route allows is not spent on a dropped answer: the answer that is there
-// would be lost for one that may not come.
+// Guards against dropping an answer when no attempt is left to obtain another one.
 BOOST_AUTO_TEST_CASE(without_an_attempt_left_the_answer_is_kept)
 {
     const model_choice it{{}};
     BOOST_TEST(after(it, small, 0.1, plenty, 0) == small);
 }
 
-// Guards against a large model that stays unused after a period in which it was slow.
-BOOST_AUTO_TEST_CASE(model_that_was_slow_once_is_asked_again)
+// Guards against never using a larger model again after a period in which it was slow.
+BOOST_AUTO_TEST_CASE(model_that_was_slow_is_tried_again)
 {
     constexpr int requests = 5000;
     model_choice it{{}};
     learn_times(it, "small", millis{50}, millis{100});
     learn_times(it, "middle", millis{20'000}, millis{20'000});
     learn_times(it, "large", millis{20'000}, millis{20'000});
-    int asked = 0;
+    int escalated = 0;
     for (int n = 0; n < requests; ++n) {
-        asked += after(it, small, 0.1) == small ? 0 : 1;
+        escalated += after(it, small, 0.1) == small ? 0 : 1;
         it.times().saw("r", "small", 100, millis{50}, millis{100});
     }
-    BOOST_TEST(asked > 0);
+    BOOST_TEST(escalated > 0);
 }
 
-// Guards against trying a slow model again at the cost of its requests.
-BOOST_AUTO_TEST_CASE(model_that_stays_slow_is_asked_seldom)
+// Guards against losing many requests to a slow model by trying it again too often.
+BOOST_AUTO_TEST_CASE(model_that_stays_slow_is_tried_rarely)
 {
     constexpr int requests = 5000;
     constexpr millis slow{20'000};
@@ -176,17 +178,17 @@
     learn_times(it, "small", millis{50}, millis{100});
     learn_times(it, "middle", slow, slow);
     learn_times(it, "large", slow, slow);
-    int asked = 0;
+    int escalated = 0;
     for (int n = 0; n < requests; ++n) {
         const auto rank = after(it, small, 0.1);
         if (rank == small) {
             it.times().saw("r", "small", 100, millis{50}, millis{100});
         } else {
-            ++asked;
+            ++escalated;
             it.times().saw("r", rank == large ? "large" : "middle", 100, slow, slow);
         }
     }
-    BOOST_TEST(asked < requests / 50);
+    BOOST_TEST(escalated < requests / 50);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
