--- a/modules/gateway/include/hickorypost/gateway/backend_directory.h
+++ b/modules/gateway/include/hickorypost/gateway/backend_directory.h
@@ -16,64 +16,67 @@
 
 enum class backend_state : std::uint8_t { ready, draining, gone };
 
-/// One incarnation of a backend server as it told about itself. Sent between processes: fields are
-/// only ever appended.
+/// One incarnation (process start) of a backend server, as described in its own heartbeats. Sent
+/// between processes, so new fields may only be appended.
 struct backend_record {
-    std::string id; ///< of this start, see `incarnation_id`
+    std::string id; ///< of this incarnation, see `incarnation_id`
     std::string service;
     std::string address; ///< IP:PORT
     std::string failure_domain;
-    std::string version; ///< of its software
+    std::string version; ///< software version
     std::uint32_t slots = 1;
     backend_state state = backend_state::ready;
-    std::uint64_t cold_ms = 0;  ///< how much longer it is slow after its start
-    std::uint64_t sequence = 0; ///< rises with each heartbeat of one incarnation
-    std::string name;           ///< what it goes by at its address; may outlive a restart
-    std::uint64_t born = 0;     ///< Unix milliseconds of its start; 0: it does not say
+    std::uint64_t cold_ms = 0;  ///< remaining warm-up time after the start
+    std::uint64_t sequence = 0; ///< increases with each heartbeat of an incarnation
+    std::string name;           ///< name of the backend server; may stay the same over restarts
+    std::uint64_t born = 0;     ///< start time in Unix milliseconds; 0 if unknown
 };
 
-/// Identity of one start of a backend server. One that says when it began may go by the same name
-/// after a restart, and then knows nothing of before.
+/// Identity of one start of a backend server: its name, and its start time if that is known. The
+/// start time tells incarnations apart that use the same name, as a restart loses all earlier
+/// state.
 std::string incarnation_id(std::string_view name, std::uint64_t born);
 
 struct directory_settings {
-    /// Silence after which a backend server is only used where no other is left. Several
-    /// heartbeats: one may come seconds late while its sender serves.
+    /// Time without a heartbeat after which a backend server is used only where no other is left.
+    /// Spans several heartbeats, because one may arrive seconds late from a sender that works.
     millis stale_after{6000};
-    /// Silence after which it is forgotten.
+    /// Time without a heartbeat after which a backend server is removed.
     millis forget_after{60'000};
-    /// How long the id of one that left is remembered, so that a heartbeat held up on its way
-    /// cannot bring it back.
+    /// How long the id of a removed incarnation is kept, so that a delayed heartbeat cannot add it
+    /// again.
     millis tombstone{600'000};
-    /// Heartbeats after which an incarnation that another replaced at its address counts as alive
-    /// again. One may be a heartbeat held up on its way, a second is not.
-    std::uint32_t beats_to_return = 2;
-    /// The same for one whose leaving was told by its name alone: that may have been a late word of
-    /// the start before.
-    std::uint32_t beats_to_deny_leaving = 2;
-    /// Failure domains in which a backend server must have failed a probe before processes of other
-    /// domains avoid it too. One alone may be cut off from it.
+    /// Heartbeats after which an incarnation that was replaced at its address counts as alive
+    /// again. A single heartbeat may have been delayed on its way; a second one shows that the
+    /// sender runs.
+    std::uint32_t heartbeats_to_restore = 2;
+    /// Heartbeats that refute a departure announced by name only: such an announcement may be a
+    /// delayed one of an earlier incarnation.
+    std::uint32_t heartbeats_to_refute_departure = 2;
+    /// Failure domains in which a backend server must have failed a probe before processes in other
+    /// domains avoid it too. A single domain may be partitioned from it.
     std::size_t min_failed_domains = 2;
 };
 
 /// A backend server in the directory.
 struct backend_entry {
     backend_record record;
-    instant heard;         ///< last heartbeat
-    bool replaced = false; ///< another incarnation has registered at its address since
-    std::uint32_t beats_since_replaced = 0;
-    bool silent = false; ///< as `expire` last saw it
-    /// Failure domains in which it has failed a liveness probe since its newest heartbeat.
+    instant heard;         ///< time of the newest heartbeat
+    bool replaced = false; ///< another incarnation has since taken its address
+    std::uint32_t heartbeats_since_replaced = 0;
+    bool silent = false; ///< result of the last `expire`
+    /// Failure domains in which a liveness probe has failed since the newest heartbeat.
     std::set<std::string, std::less<>> failed_domains;
-    std::uint64_t failed_at_sequence = 0; ///< sequence of its newest heartbeat at that time
+    /// Newest heartbeat known at the time of these probes.
+    std::uint64_t failed_at_sequence = 0;
 };
 
-/// The backend servers of all services, by incarnation, sequence and address. Soft state that each
-/// process fills from heartbeats, its own and those that other processes pass on. Sans I/O.
+/// Directory of the backend servers of all services. Soft state that each process builds from the
+/// heartbeats that it receives itself and those that other processes forward. Performs no I/O.
 ///
-/// News comes late and in any order, by several ways. Of one name only the newest start counts: a
-/// heartbeat of an older one changes nothing, a newer one replaces it at once with all that was
-/// believed of it.
+/// Heartbeats may arrive late, out of order and over several paths. For each name only the newest
+/// incarnation is kept: heartbeats of an older one are ignored, and a newer one immediately
+/// replaces the older entry with all its state.
 class backend_directory {
 public:
     explicit backend_directory(directory_settings settings, std::string own_domain = {})
@@ -82,78 +85,92 @@
     }
 
     enum class change : std::uint8_t { none, touched, changed };
-    /// Takes a heartbeat; one that is older than what is known changes nothing.
+    /// Effect of a heartbeat: ignored, only renewed the entry, or changed the entry's data.
+    /// Applies a heartbeat, or a departure if its state is `gone`; stale records are ignored.
     change take(const backend_record& record, instant now);
-    /// Takes a heartbeat without its content: the incarnation lives. True if that is news.
+    /// Applies a heartbeat that carries only its sequence. Returns true if the sequence is new.
     bool touch(std::string_view id, std::uint64_t sequence, instant now);
-    /// It has failed a liveness probe in that failure domain, when `sequence` was its newest known
-    /// heartbeat. It counts as silent until the next. Returns true if that is news.
+    /// Records a failed liveness probe in failure domain `domain`; `sequence` is the newest
+    /// heartbeat that the prober knew. Counts until the next heartbeat. Returns true if not
+    /// recorded before.
     bool take_probe_failure(std::string_view id, std::uint64_t sequence, std::string_view domain);
-    /// The incarnation has left, or was seen not to be at its address any more.
+    /// Removes an incarnation that has shut down or was found to be absent from its address.
     bool remove(std::string_view id, instant now);
-    /// Incarnations that a newer start under their name has replaced since the last call. Nothing
-    /// runs there any more, whatever their connections look like.
+    /// Returns the incarnations that a newer start under the same name has replaced since the last
+    /// call. Their requests are lost, even if their connections still look open.
     std::vector<std::string> take_superseded();
-    /// The newest start known under a name; null if none is.
+    /// The newest known incarnation of a name; null if none is known.
     [[nodiscard]] const backend_entry* find_named(std::string_view name) const;
-    /// One that has fallen silent, or was heard of again.
-    struct hearing {
+    /// A backend server that became silent, or is no longer silent.
+    struct silence_change {
         std::string id;
         bool silent = false;
     };
-    /// Forgets what is long silent. Gives those whose silence began or ended since the last call.
-    std::vector<hearing> expire(instant now);
+    /// Removes entries without a heartbeat for `forget_after`, and expired tombstones. Returns the
+    /// backend servers whose silence began or ended since the last call.
+    std::vector<silence_change> expire(instant now);
+    /// Number of backend servers that were silent at the last `expire`.
     [[nodiscard]] std::size_t silent() const noexcept;
 
     [[nodiscard]] const backend_entry* find(std::string_view id) const;
-    /// Incarnations that may get new work, those heard of recently first choice.
+    /// Incarnations of a service that may get new work: those with recent heartbeats; if there are
+    /// none, the silent ones.
     [[nodiscard]] std::vector<const backend_entry*> usable(std::string_view service,
                                                            instant now) const;
     [[nodiscard]] bool stale(const backend_entry& it, instant now) const
     {
         return now > it.heard + settings_.stale_after || probe_failed(it);
     }
-    /// Whether it has failed probes in enough failure domains since its newest heartbeat.
+    /// Whether probes have failed in the own or in `min_failed_domains` failure domains since the
+    /// newest heartbeat.
     [[nodiscard]] bool probe_failed(const backend_entry& it) const
     {
         return it.failed_domains.contains(own_domain_) ||
                it.failed_domains.size() >= settings_.min_failed_domains;
     }
-    /// All records, tombstones included, for another process's first fill.
+    /// All records, including tombstones, to initialize the directory of another process.
     [[nodiscard]] std::vector<backend_record> all() const;
     [[nodiscard]] std::size_t size() const noexcept { return entries_.size(); }
 
 private:
-    struct start_mark {
+    /// The newest known start of a name.
+    struct known_start {
         std::string id;
         std::uint64_t born = 0;
         instant seen;
     };
+    /// A removed incarnation, whose heartbeats are ignored.
     struct tombstone {
         instant at;
-        /// Not empty: the leaving was told by this name alone, so that heartbeats can refute it.
-        std::string told_name;
-        std::uint64_t sequence = 0; ///< the newest heartbeat seen
-        std::uint32_t beats = 0;    ///< newer heartbeats since
+        /// If not empty, the departure was announced by this name only and heartbeats can refute
+        /// it.
+        std::string announced_name;
+        std::uint64_t sequence = 0;   ///< of the newest heartbeat received
+        std::uint32_t heartbeats = 0; ///< heartbeats received since the departure
     };
 
-    [[nodiscard]] bool has_left(const backend_record& record);
-    /// False: a newer start of that name is known.
-    bool take_start(const backend_record& record, instant now);
-    change take_leaving(const backend_record& record, instant now);
-    bool bury(std::string_view id, tombstone how);
+    /// Whether a tombstone rejects this heartbeat. Drops a tombstone that heartbeats have refuted.
+    [[nodiscard]] bool blocked_by_tombstone(const backend_record& record);
+    /// Registers the record's start and replaces an older one. Returns false if a newer start of
+    /// the name is known.
+    bool accept_start(const backend_record& record, instant now);
+    change handle_departure(const backend_record& record, instant now);
+    /// Removes an entry and leaves a tombstone. Returns true if either is new.
+    bool add_tombstone(std::string_view id, tombstone stone);
+    /// Registers the entry as the holder of its address, unless a newer incarnation holds the
+    /// address.
     void claim_address(backend_entry& it);
     void release_address(const backend_entry& it);
 
-    /// A heartbeat of that sequence has arrived: probes that failed before it no longer count.
+    /// Drops probe failures that are older than the heartbeat `sequence`.
     static void clear_probe_failures(backend_entry& it, std::uint64_t sequence);
 
     directory_settings settings_;
     std::string own_domain_;
     std::map<std::string, backend_entry, std::less<>> entries_;
     std::map<std::string, tombstone, std::less<>> tombstones_;
-    std::map<std::string, start_mark, std::less<>> newest_;      ///< by name
-    std::map<std::string, std::string, std::less<>> at_address_; ///< address to incarnation
+    std::map<std::string, known_start, std::less<>> newest_starts_;   ///< by name
+    std::map<std::string, std::string, std::less<>> address_holders_; ///< incarnation by address
     std::vector<std::string> superseded_;
 };
 
--- a/modules/gateway/src/backend_directory.cpp
+++ b/modules/gateway/src/backend_directory.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// The name that a backend server goes by. Records of processes that know no names carry none.
+/// The name of a backend server. Records from processes that predate the name field leave it empty.
 const std::string& name_of(const backend_record& record)
 {
     return record.name.empty() ? record.id : record.name;
@@ -27,9 +27,9 @@
 backend_directory::change backend_directory::take(const backend_record& record, instant now)
 {
     if (record.state == backend_state::gone) {
-        return take_leaving(record, now);
+        return handle_departure(record, now);
     }
-    if (has_left(record) || !take_start(record, now)) {
+    if (blocked_by_tombstone(record) || !accept_start(record, now)) {
         return change::none;
     }
     const auto [at, is_new] = entries_.try_emplace(record.id);
@@ -37,20 +37,20 @@
     if (!is_new && record.sequence <= it.record.sequence) {
         return change::none;
     }
-    // An incarnation serves one service for life. Another one under its id comes from a foreign or
-    // damaged writer; taken over, a sound backend server would get no more work.
+    // An incarnation never changes its service. A record of another service with the same id comes
+    // from a foreign or faulty sender; if applied, a working backend server would get no more work.
     if (!is_new && record.service != it.record.service) {
         return change::none;
     }
-    // A backend server that has said it drains does not take it back within one incarnation; a
-    // heartbeat from before, passed on by another way, must not bring work to it.
-    const bool drains = !is_new && it.record.state == backend_state::draining;
+    // Draining is final within an incarnation; an earlier heartbeat that arrives over another path
+    // must not direct work to the backend server again.
+    const bool is_draining = !is_new && it.record.state == backend_state::draining;
     const bool differs = is_new || it.record.state != record.state ||
                          it.record.address != record.address || it.record.slots != record.slots ||
                          it.record.version != record.version;
     it.record = record;
     it.record.name = name_of(record);
-    if (drains) {
+    if (is_draining) {
         it.record.state = backend_state::draining;
     }
     it.heard = now;
@@ -59,35 +59,35 @@
     return differs ? change::changed : change::touched;
 }
 
-bool backend_directory::has_left(const backend_record& record)
+bool backend_directory::blocked_by_tombstone(const backend_record& record)
 {
     const auto found = tombstones_.find(record.id);
     if (found == tombstones_.end()) {
         return false;
     }
     tombstone& it = found->second;
-    if (it.told_name.empty() || record.sequence <= it.sequence) {
+    if (it.announced_name.empty() || record.sequence <= it.sequence) {
         return true;
     }
-    // Word of leaving that names no start may be a late one of the start before. One heartbeat may
-    // be late too; one that goes on with them is there.
+    // A departure without a start time may be a delayed one of an earlier incarnation. A single
+    // heartbeat may be delayed too; further ones show that the incarnation runs.
     it.sequence = record.sequence;
-    if (++it.beats < settings_.beats_to_deny_leaving) {
+    if (++it.heartbeats < settings_.heartbeats_to_refute_departure) {
         return true;
     }
     tombstones_.erase(found);
     return false;
 }
 
-bool backend_directory::take_start(const backend_record& record, instant now)
+bool backend_directory::accept_start(const backend_record& record, instant now)
 {
-    const auto [at, is_new] = newest_.try_emplace(name_of(record));
-    start_mark& newest = at->second;
+    const auto [at, is_new] = newest_starts_.try_emplace(name_of(record));
+    known_start& newest = at->second;
     if (!is_new && newest.id != record.id) {
         if (record.born <= newest.born) {
             return false;
         }
-        if (bury(newest.id, {now, {}, 0, 0})) {
+        if (add_tombstone(newest.id, {now, {}, 0, 0})) {
             superseded_.push_back(newest.id);
         }
     }
@@ -95,56 +95,58 @@
     return true;
 }
 
-backend_directory::change backend_directory::take_leaving(const backend_record& record, instant now)
+backend_directory::change backend_directory::handle_departure(const backend_record& record,
+                                                              instant now)
 {
     const std::string& name = name_of(record);
     if (record.born != 0) {
-        take_start(record, now);
+        accept_start(record, now);
     }
-    const auto newest = newest_.find(name);
-    const bool by_name = record.born == 0 && newest != newest_.end() && newest->second.born != 0;
+    const auto newest = newest_starts_.find(name);
+    const bool by_name =
+        record.born == 0 && newest != newest_starts_.end() && newest->second.born != 0;
     const std::string id = by_name ? newest->second.id : record.id;
     const auto known = entries_.find(id);
     const std::uint64_t sequence = known == entries_.end() ? 0 : known->second.record.sequence;
     if (by_name && known == entries_.end()) {
-        return change::none; // it has left already
+        return change::none; // already removed
     }
-    return bury(id, {now, by_name ? name : std::string{}, sequence, 0}) ? change::changed
-                                                                        : change::none;
+    return add_tombstone(id, {now, by_name ? name : std::string{}, sequence, 0}) ? change::changed
+                                                                                 : change::none;
 }
 
 void backend_directory::claim_address(backend_entry& it)
 {
-    std::string& holder = at_address_[it.record.address];
+    std::string& holder = address_holders_[it.record.address];
     if (holder == it.record.id) {
         return;
     }
     const auto other = entries_.find(holder);
     if (other != entries_.end() && it.record.born != 0 &&
         it.record.born < other->second.record.born) {
-        it.replaced = true; // it began before the one that has the address now
+        it.replaced = true; // the present holder started later
         return;
     }
     if (it.replaced && other != entries_.end()) {
-        // It lost its address to a newer incarnation. A heartbeat that was held up on its way may
-        // still come after its sender's end; only a sender that lives sends several.
-        if (++it.beats_since_replaced < settings_.beats_to_return) {
+        // Another incarnation has taken the address. A single delayed heartbeat may arrive after
+        // its sender has ended; only a running sender sends several.
+        if (++it.heartbeats_since_replaced < settings_.heartbeats_to_restore) {
             return;
         }
         it.replaced = false;
     }
     if (other != entries_.end()) {
         other->second.replaced = true;
-        other->second.beats_since_replaced = 0;
+        other->second.heartbeats_since_replaced = 0;
     }
     holder = it.record.id;
 }
 
 void backend_directory::release_address(const backend_entry& it)
 {
-    const auto holder = at_address_.find(it.record.address);
-    if (holder != at_address_.end() && holder->second == it.record.id) {
-        at_address_.erase(holder);
+    const auto holder = address_holders_.find(it.record.address);
+    if (holder != address_holders_.end() && holder->second == it.record.id) {
+        address_holders_.erase(holder);
     }
 }
 
@@ -167,7 +169,7 @@
 {
     const auto found = entries_.find(id);
     if (found == entries_.end() || sequence < found->second.record.sequence) {
-        return false; // it has been heard of since
+        return false; // a newer heartbeat has arrived since
     }
     backend_entry& it = found->second;
     if (sequence > it.failed_at_sequence) {
@@ -186,12 +188,12 @@
 
 bool backend_directory::remove(std::string_view id, instant now)
 {
-    return bury(id, {now, {}, 0, 0});
+    return add_tombstone(id, {now, {}, 0, 0});
 }
 
-bool backend_directory::bury(std::string_view id, tombstone how)
+bool backend_directory::add_tombstone(std::string_view id, tombstone stone)
 {
-    const bool fresh = tombstones_.insert_or_assign(std::string{id}, std::move(how)).second;
+    const bool fresh = tombstones_.insert_or_assign(std::string{id}, std::move(stone)).second;
     const auto found = entries_.find(id);
     if (found == entries_.end()) {
         return fresh;
@@ -206,9 +208,9 @@
     return std::exchange(superseded_, {});
 }
 
-std::vector<backend_directory::hearing> backend_directory::expire(instant now)
+std::vector<backend_directory::silence_change> backend_directory::expire(instant now)
 {
-    std::vector<hearing> out;
+    std::vector<silence_change> out;
     std::erase_if(tombstones_,
                   [&](const auto& it) { return now > it.second.at + settings_.tombstone; });
     for (auto it = entries_.begin(); it != entries_.end();) {
@@ -223,7 +225,7 @@
         release_address(it->second);
         it = entries_.erase(it);
     }
-    std::erase_if(newest_, [&](const auto& it) {
+    std::erase_if(newest_starts_, [&](const auto& it) {
         return now > it.second.seen + settings_.tombstone && !entries_.contains(it.second.id);
     });
     return out;
@@ -243,8 +245,8 @@
 
 const backend_entry* backend_directory::find_named(std::string_view name) const
 {
-    const auto it = newest_.find(name);
-    return it == newest_.end() ? nullptr : find(it->second.id);
+    const auto it = newest_starts_.find(name);
+    return it == newest_starts_.end() ? nullptr : find(it->second.id);
 }
 
 std::vector<const backend_entry*> backend_directory::usable(std::string_view service,
@@ -259,7 +261,7 @@
         }
         (stale(it, now) ? silent : fresh).push_back(&it);
     }
-    // When heartbeats reach nobody, all are silent, and most of them serve.
+    // If heartbeats are lost everywhere, all entries are silent although most backend servers work.
     return fresh.empty() ? silent : fresh;
 }
 
@@ -272,7 +274,7 @@
     }
     for (const auto& [id, it] : tombstones_) {
         backend_record gone;
-        gone.id = it.told_name.empty() ? id : it.told_name;
+        gone.id = it.announced_name.empty() ? id : it.announced_name;
         gone.state = backend_state::gone;
         out.push_back(std::move(gone));
     }
--- a/modules/gateway/tests/backend_directory_test.cpp
+++ b/modules/gateway/tests/backend_directory_test.cpp
@@ -1,5 +1,5 @@
-/// Backend servers that start again under the name they had, and records that a foreign writer
-/// made.
+/// Tests restarts of backend servers under the same name, records of foreign senders, and failed
+/// liveness probes.
 
 #include "hickorypost/gateway/backend_directory.h"
 
@@ -14,8 +14,8 @@
 
 const instant start{millis{100'000}};
 
-backend_record beat(const std::string& name, std::uint64_t born, std::uint64_t sequence,
-                    const std::string& address = "h:1")
+backend_record heartbeat(const std::string& name, std::uint64_t born, std::uint64_t sequence,
+                         const std::string& address = "h:1")
 {
     backend_record out{incarnation_id(name, born), "app", address, "d", "v1", 4,
                        backend_state::ready,       0,     sequence};
@@ -24,9 +24,9 @@
     return out;
 }
 
-backend_record leaving(const std::string& name, std::uint64_t born)
+backend_record departure(const std::string& name, std::uint64_t born)
 {
-    backend_record out = beat(name, born, 0);
+    backend_record out = heartbeat(name, born, 0);
     out.state = backend_state::gone;
     return out;
 }
@@ -44,100 +44,101 @@
 
 BOOST_AUTO_TEST_SUITE(directory)
 
-// A backend server crashes behind a cut and starts again under its name with counts that begin
-// anew. Read as one incarnation, its low sequence numbers look late, it stays unused for as long as
-// it had run before, and requests on the dead connections wait for their silence to be noticed.
-BOOST_AUTO_TEST_CASE(a_start_under_the_same_name_replaces_the_one_before_at_once)
+// A backend server crashes behind a network partition and restarts under the same name; its
+// sequence numbers start again. Guards against treating both starts as one incarnation: the low
+// sequence numbers would look stale, the backend server would stay unused for as long as it had run
+// before, and requests on dead connections would wait for the silence timeout.
+BOOST_AUTO_TEST_CASE(restart_under_the_same_name_replaces_the_older_incarnation)
 {
     backend_directory it{{}};
-    it.take(beat("b", 1000, 50), start);
-    BOOST_TEST((it.take(beat("b", 2000, 1), start) == backend_directory::change::changed));
+    it.take(heartbeat("b", 1000, 50), start);
+    BOOST_TEST((it.take(heartbeat("b", 2000, 1), start) == backend_directory::change::changed));
     BOOST_TEST(usable(it) == std::vector<std::string>{"b@2000"}, boost::test_tools::per_element());
     BOOST_TEST(it.take_superseded() == std::vector<std::string>{"b@1000"},
                boost::test_tools::per_element());
     BOOST_TEST(it.take_superseded().empty());
 }
 
-// A heartbeat of the start before was held up by the cut and arrives after the new one's. Taken, it
-// would bring back a dead incarnation, and requests would be sent to it.
-BOOST_AUTO_TEST_CASE(an_older_start_changes_nothing_even_where_it_was_never_known)
+// Heartbeats of an older incarnation were delayed and arrive after those of the new one. Guards
+// against adding the dead incarnation, to which requests would be sent.
+BOOST_AUTO_TEST_CASE(older_incarnation_is_ignored_even_if_never_known_before)
 {
     backend_directory it{{}};
-    it.take(beat("b", 2000, 1), start);
+    it.take(heartbeat("b", 2000, 1), start);
     for (std::uint64_t n = 50; n < 55; ++n) {
-        BOOST_TEST((it.take(beat("b", 1000, n), start) == backend_directory::change::none));
+        BOOST_TEST((it.take(heartbeat("b", 1000, n), start) == backend_directory::change::none));
     }
-    it.take(leaving("b", 1000), start);
+    it.take(departure("b", 1000), start);
     BOOST_TEST(usable(it) == std::vector<std::string>{"b@2000"}, boost::test_tools::per_element());
 }
 
-// One that left for good and began again is new: what is remembered of its leaving is the start's.
-BOOST_AUTO_TEST_CASE(one_that_left_and_started_again_is_used)
+// Guards against a tombstone of one incarnation that blocks the next one under the same name.
+BOOST_AUTO_TEST_CASE(backend_server_that_left_is_used_after_a_restart)
 {
     backend_directory it{{}};
-    it.take(beat("b", 1000, 5), start);
-    it.take(leaving("b", 1000), start);
+    it.take(heartbeat("b", 1000, 5), start);
+    it.take(departure("b", 1000), start);
     BOOST_TEST(usable(it).empty());
-    it.take(beat("b", 2000, 1), start);
+    it.take(heartbeat("b", 2000, 1), start);
     BOOST_TEST(usable(it) == std::vector<std::string>{"b@2000"}, boost::test_tools::per_element());
 }
 
-// Word of leaving that names no start comes late, after the backend server has started again. It is
-// obeyed, as it may be true; a start that goes on with heartbeats is there.
-BOOST_AUTO_TEST_CASE(a_leaving_told_by_name_alone_is_refuted_by_heartbeats_that_go_on)
+// A departure without a start time arrives after the backend server has restarted. It takes effect,
+// because it may be current, until two further heartbeats refute it.
+BOOST_AUTO_TEST_CASE(departure_announced_by_name_only_is_refuted_by_further_heartbeats)
 {
     backend_directory it{{}};
-    it.take(beat("b", 2000, 1), start);
-    it.take(leaving("b", 0), start);
+    it.take(heartbeat("b", 2000, 1), start);
+    it.take(departure("b", 0), start);
     BOOST_TEST(usable(it).empty());
-    it.take(beat("b", 2000, 2), start);
+    it.take(heartbeat("b", 2000, 2), start);
     BOOST_TEST(usable(it).empty());
-    it.take(beat("b", 2000, 3), start);
+    it.take(heartbeat("b", 2000, 3), start);
     BOOST_TEST(usable(it) == std::vector<std::string>{"b@2000"}, boost::test_tools::per_element());
 }
 
-// Its address went to another backend server, which began later. Heartbeats of the dead one come
-// late, more than one of them.
-BOOST_AUTO_TEST_CASE(an_address_stays_with_the_backend_server_that_began_last)
+// A backend server that started later has taken the address. Guards against several delayed
+// heartbeats of the former holder that take the address back.
+BOOST_AUTO_TEST_CASE(address_stays_with_the_backend_server_that_started_last)
 {
     backend_directory it{{}};
-    it.take(beat("new", 2000, 1), start);
-    it.take(beat("old", 1000, 7), start);
-    it.take(beat("old", 1000, 8), start);
-    it.take(beat("old", 1000, 9), start);
+    it.take(heartbeat("new", 2000, 1), start);
+    it.take(heartbeat("old", 1000, 7), start);
+    it.take(heartbeat("old", 1000, 8), start);
+    it.take(heartbeat("old", 1000, 9), start);
     BOOST_TEST(usable(it) == std::vector<std::string>{"new@2000"},
                boost::test_tools::per_element());
 }
 
-// A foreign writer tells under a known id of another service. Taken over, the backend server would
-// get no more work of its own.
-BOOST_AUTO_TEST_CASE(a_record_of_another_service_takes_no_known_backend_server_over)
+// A foreign sender uses a known id with another service. Guards against applying the record, after
+// which the backend server would get no more work for its own service.
+BOOST_AUTO_TEST_CASE(record_of_another_service_does_not_change_a_known_backend_server)
 {
     backend_directory it{{}};
-    it.take(beat("b", 0, 1), start);
-    auto foreign = beat("b", 0, 9);
+    it.take(heartbeat("b", 0, 1), start);
+    auto foreign = heartbeat("b", 0, 9);
     foreign.service = "elsewhere";
     BOOST_TEST((it.take(foreign, start) == backend_directory::change::none));
     BOOST_TEST(usable(it) == std::vector<std::string>{"b"}, boost::test_tools::per_element());
 }
 
-// News of three starts of one name reaches several hosts in any order, some of it twice, some not
-// at all. No host ever uses a start older than the newest it has heard of, and each ends with the
-// newest unless that has left.
-RC_BOOST_PROP(whatever_the_order_only_the_newest_start_counts, ())
+// Records of three incarnations of one name reach several hosts out of order, with duplicates and
+// losses. No host may use an incarnation older than the newest that it knows, and each host ends
+// with the newest unless that has left.
+RC_BOOST_PROP(only_the_newest_incarnation_is_used_in_any_order, ())
 {
-    struct news {
+    struct delivery {
         backend_record record;
         bool leaves = false;
     };
-    std::vector<news> all;
+    std::vector<delivery> all;
     for (const std::uint64_t born : {1000U, 2000U, 3000U}) {
-        const auto beats = *rc::gen::inRange<std::uint64_t>(1, 5);
-        for (std::uint64_t n = 1; n <= beats; ++n) {
-            all.push_back({beat("b", born, n), false});
+        const auto heartbeats = *rc::gen::inRange<std::uint64_t>(1, 5);
+        for (std::uint64_t n = 1; n <= heartbeats; ++n) {
+            all.push_back({heartbeat("b", born, n), false});
         }
         if (*rc::gen::arbitrary<bool>()) {
-            all.push_back({leaving("b", born), true});
+            all.push_back({departure("b", born), true});
         }
     }
     constexpr int hosts = 4;
@@ -149,7 +150,7 @@
         bool newest_left = false;
         std::vector<std::string> replaced;
         for (const auto n : order) {
-            const news& next = all[n];
+            const delivery& next = all[n];
             it.take(next.record, start);
             for (auto& id : it.take_superseded()) {
                 replaced.push_back(std::move(id));
@@ -171,37 +172,37 @@
     }
 }
 
-// An engine goes dark: it keeps its connections and answers nothing. Each of a hundred processes
-// meets it once in many seconds, so its own requests would teach it nothing in time. One that got
-// no sign of life says so; processes of its failure domain leave the engine at once, others when a
-// second domain says the same, and all come back with its next heartbeat.
-BOOST_AUTO_TEST_CASE(a_backend_server_that_others_found_silent_is_left_until_its_next_heartbeat)
+// An engine keeps its connections open but answers nothing. Each of a hundred processes sends to it
+// only once in many seconds, so none would detect the failure in time from its own requests. Probe
+// failures are shared instead: processes in the prober's failure domain avoid the engine at once,
+// others after a failure in a second domain, and all use it again after its next heartbeat.
+BOOST_AUTO_TEST_CASE(backend_server_with_failed_probes_is_avoided_until_its_next_heartbeat)
 {
     backend_directory it{{}, "a"};
-    it.take(beat("dark", 0, 5, "h:1"), start);
-    it.take(beat("sound", 0, 5, "h:2"), start);
+    it.take(heartbeat("dark", 0, 5, "h:1"), start);
+    it.take(heartbeat("sound", 0, 5, "h:2"), start);
     const std::vector<std::string> both{"dark", "sound"};
-    const std::vector<std::string> one{"sound"};
+    const std::vector<std::string> sound_only{"sound"};
     BOOST_TEST(it.take_probe_failure("dark", 5, "b"));
     BOOST_TEST(!it.take_probe_failure("dark", 5, "b"));
     BOOST_TEST(usable(it) == both, boost::test_tools::per_element());
     BOOST_TEST(it.take_probe_failure("dark", 5, "c"));
-    BOOST_TEST(usable(it) == one, boost::test_tools::per_element());
+    BOOST_TEST(usable(it) == sound_only, boost::test_tools::per_element());
     it.touch("dark", 6, start);
     BOOST_TEST(usable(it) == both, boost::test_tools::per_element());
     BOOST_TEST(it.take_probe_failure("dark", 6, "a"));
-    BOOST_TEST(usable(it) == one, boost::test_tools::per_element());
-    it.take(beat("dark", 0, 7, "h:1"), start);
+    BOOST_TEST(usable(it) == sound_only, boost::test_tools::per_element());
+    it.take(heartbeat("dark", 0, 7, "h:1"), start);
     BOOST_TEST(usable(it) == both, boost::test_tools::per_element());
 }
 
-// Word of silence comes late, after a newer heartbeat, and early, before the heartbeat that it
-// names has come. The one says nothing; the other holds until a newer one.
-BOOST_AUTO_TEST_CASE(doubts_and_heartbeats_come_in_any_order)
+// A probe failure that arrives after a newer heartbeat is ignored. One that arrives before the
+// heartbeat that it names holds until a newer heartbeat.
+BOOST_AUTO_TEST_CASE(probe_failures_and_heartbeats_arrive_in_any_order)
 {
     backend_directory it{{}, "a"};
-    it.take(beat("b", 0, 5), start);
-    it.take(beat("other", 0, 1, "h:2"), start);
+    it.take(heartbeat("b", 0, 5), start);
+    it.take(heartbeat("other", 0, 1, "h:2"), start);
     BOOST_TEST(!it.take_probe_failure("b", 4, "a"));
     BOOST_TEST(usable(it).size() == 2U);
     BOOST_TEST(it.take_probe_failure("b", 7, "a"));
@@ -211,12 +212,12 @@
     BOOST_TEST(usable(it).size() == 2U);
 }
 
-// All engines are doubted, as from a process that is cut off from everything. They are used as
-// before: there is nothing better.
-BOOST_AUTO_TEST_CASE(doubted_backend_servers_are_used_where_no_other_is_left)
+// Probes of all backend servers have failed, for example because the network of the prober is
+// partitioned. Guards against refusing requests although the backend servers may work.
+BOOST_AUTO_TEST_CASE(backend_servers_with_failed_probes_are_used_where_no_other_is_left)
 {
     backend_directory it{{}, "a"};
-    it.take(beat("b", 0, 5), start);
+    it.take(heartbeat("b", 0, 5), start);
     it.take_probe_failure("b", 5, "a");
     BOOST_TEST(usable(it).size() == 1U);
 }
