--- a/modules/gateway/include/hickorypost/gateway/backend_limits.h
+++ b/modules/gateway/include/hickorypost/gateway/backend_limits.h
@@ -14,126 +14,133 @@
 
 namespace hickorypost::gateway {
 
-/// What an answer says of its backend server's limit.
+/// The rate limit that a response states for its backend server.
 struct limit_statement {
     enum class kind_type : std::uint8_t {
-        none,       ///< it has no limit
+        none,       ///< the backend server has no limit
         named,      ///< `per_second`
-        unreadable, ///< nothing that can be understood
+        unreadable, ///< the statement cannot be parsed
     };
     kind_type kind = kind_type::none;
-    double per_second = 0; ///< requests, from all hosts together
+    double per_second = 0; ///< requests from all hosts together
 };
 
-/// A host's request for a permit, to the coordinating host.
+/// A host's request for a permit, sent to the coordinating host.
 struct permit_request {
     std::string backend;
-    double per_second = 0; ///< the newest limit that the asking host knows
-    int priority = 0;      ///< of its most urgent request that had no room; 0 is first
+    double per_second = 0; ///< newest limit that the requesting host knows
+    int priority = 0;      ///< of its most urgent waiting request; 0 is the most urgent
 };
 
 struct permit_reply {
     std::string backend;
     bool granted = false;
-    millis room_in{0}; ///< until there is likely to be a permit, if not `granted`
+    millis room_in{0}; ///< expected time until a permit, if not `granted`
 };
 
-/// A limit as this host knows it has begun, changed or ended.
+/// The start, change or end of a limit, as known to this host.
 struct limit_change {
     std::string backend;
-    std::optional<double> per_second; ///< nothing: it has ended
-    std::uint64_t sent = 0;           ///< requests that this host has sent there under the limit
+    std::optional<double> per_second; ///< empty if the limit has ended
+    std::uint64_t sent = 0;           ///< requests that this host has sent under the limit
 };
 
 struct limit_settings {
-    /// A permit that is not used within this time is lost.
+    /// Time after which an unused permit expires.
     millis permit_lifetime{500};
-    /// A permit request without a grant is repeated after this long.
-    millis ask_again{250};
-    /// For this long after a request had no room, fresh permits are reserved for requests that are
-    /// as urgent, each for `urgent_reserve`.
+    /// Interval at which a permit request is repeated until it is granted.
+    millis request_retry_interval{250};
+    /// For `urgent_hold` after a request was rejected for lack of a permit, each new permit is
+    /// reserved for `urgent_reserve` for requests of at least the same priority.
     millis urgent_hold{1000};
     millis urgent_reserve{200};
-    /// A limit that no answer to any host has named for this long is forgotten.
+    /// Time after which a limit is dropped if no response to any host has stated it.
     millis lifetime{60'000};
-    /// Time without a reply after which this host sends without permits, at
-    /// `uncoordinated_share` of an equal share of the limit.
+    /// Time without a reply from the coordinator after which this host sends without permits, at
+    /// `uncoordinated_share` times its equal share of the limit.
     millis reply_timeout{1500};
     double uncoordinated_share = 0.5;
-    /// Relative change of a limit that is broadcast, and the minimum interval of broadcasts.
+    /// Smallest relative change of a limit that is broadcast, and the minimum interval of
+    /// broadcasts.
     double min_announced_change = 0.1;
     millis min_announce_interval{1000};
-    /// A limit that has not changed is broadcast this often: a host may get no answer of that
-    /// backend server for long, as others use the permits.
+    /// Interval at which an unchanged limit is broadcast. A host may get no response from the
+    /// backend server for long, while other hosts use the permits, and would drop the limit
+    /// otherwise.
     millis refresh_interval{10'000};
-    /// Permits asked for in one turn.
+    /// Permit requests in one message.
     std::size_t max_requests_per_message = 8;
 };
 
-/// The limits that backend servers have named, and this host's permits to send to them. Performs no
-/// I/O itself.
+/// The rate limits that backend servers state in their responses, and this host's permits to send
+/// to them. Performs no I/O itself.
 ///
-/// A limit is for all hosts together, so one host grants permits for all. A host that hears nothing
-/// from it sends less than its equal share.
+/// A limit applies to all hosts together, so one coordinating host grants permits to all. A host
+/// that gets no replies from the coordinator sends at less than its equal share.
 class backend_limits {
 public:
-    /// Called for what an answer to this host says and other hosts must know, at a bounded rate.
+    /// Called, at a bounded rate, for limits stated to this host that must be announced to others.
     using changed_fn = std::function<void(const limit_change&)>;
-    /// Called for a limit that cannot be understood and is ignored, at a bounded rate.
+    /// Called, at a bounded rate, for a limit that cannot be parsed and is ignored.
     using unreadable_fn = std::function<void(const std::string& backend)>;
-    /// Called when there are permit requests to be sent.
+    /// Called when permit requests are ready to be sent.
     using requested_fn = std::function<void()>;
 
     backend_limits(limit_settings settings, clock_fn now, std::function<std::size_t()> hosts,
                    changed_fn changed, unreadable_fn unreadable, requested_fn requested);
 
-    /// An answer of that backend server to this host.
+    /// Applies the limit stated in a response of the backend server to this host.
     void saw(const std::string& backend, const limit_statement& statement);
-    /// What another host has announced.
+    /// Effect of an announcement by another host.
     struct announcement {
-        bool is_news = false; ///< to be passed on
+        bool is_news = false; ///< must be forwarded
         std::optional<limit_change> change;
     };
-    /// Another host has announced a limit, or that it has ended (nothing).
+    /// Applies an announcement by another host; an empty `limit` announces the end of the limit.
     announcement take(const std::string& backend, std::optional<double> limit);
+    /// Drops the limit of a backend server without notification.
     void forget(std::string_view backend);
+    /// Drops limits that no response has stated for `limit_settings::lifetime`.
     void expire();
 
     [[nodiscard]] bool empty() const noexcept { return entries_.empty(); }
     [[nodiscard]] std::optional<double> limit_of(std::string_view backend) const;
-    /// Whether a request of this priority may be sent there now.
+    /// Whether a request of this priority may be sent to the backend server now.
     [[nodiscard]] bool has_room(std::string_view backend, int priority) const;
-    /// A request is sent there: uses a permit.
+    /// Records a request to the backend server, which uses up a permit.
     void sent(std::string_view backend);
-    /// A request would be sent there if there were a permit.
+    /// Registers a request that waits for a permit.
     void request_permit(std::string_view backend, int priority);
-    /// A request found no room anywhere.
+    /// Records a request that was rejected because no backend server had a permit for it.
     void note_rejection(int priority);
+    /// Applies a reply of the coordinator.
     void replied(const permit_reply& reply);
-    /// When there is likely to be room on one of these, as far as is known.
+    /// Expected time until one of `backends` has a permit.
     [[nodiscard]] millis room_in(std::span<const std::string> backends) const;
-    /// Permit requests to be sent now: by priority, then least recently sent first.
+    /// Returns the permit requests to send now, by priority, then the least recently sent first.
     std::vector<permit_request> take_requests();
-    /// All limits, for a host that has just begun to listen.
+    /// All limits in requests per second, to initialize another host.
     [[nodiscard]] std::map<std::string, double> all() const;
 
 private:
     struct entry {
         double per_second = 0;
-        instant named;                   ///< by an answer to any host
-        std::optional<double> announced; ///< to other hosts
+        instant confirmed_at;            ///< last stated by a response to any host
+        std::optional<double> announced; ///< last value announced to other hosts
         instant announced_at;
-        std::vector<instant> permits; ///< when each was granted, oldest first
-        std::optional<int> wanted;    ///< priority of a caller's request without a permit
-        instant asked;
-        std::optional<instant> unanswered_since; ///< the first permit request without a reply
-        instant room_at;                         ///< when there is likely to be a permit
-        instant uncoordinated_due; ///< next request without a permit, if nobody grants any
+        std::vector<instant> permits;        ///< times of grant, oldest first
+        std::optional<int> pending_priority; ///< highest priority waiting for a permit
+        instant requested_at;
+        std::optional<instant> no_reply_since; ///< first permit request without a reply
+        instant expected_permit_at;            ///< from the newest reply
+        instant uncoordinated_due;             ///< next request without a permit
         std::uint64_t sent = 0;
     };
 
-    [[nodiscard]] bool uncoordinated(const entry& it) const;
-    void begin(const std::string& backend, double per_second);
+    /// Whether the coordinator does not reply and the next request without a permit is due.
+    [[nodiscard]] bool may_send_uncoordinated(const entry& it) const;
+    /// Creates or updates the entry of a limited backend server.
+    void set_limit(const std::string& backend, double per_second);
 
     limit_settings settings_;
     clock_fn now_;
@@ -142,9 +149,9 @@
     unreadable_fn unreadable_;
     requested_fn requested_;
     std::map<std::string, entry, std::less<>> entries_; ///< by incarnation
-    int short_priority_ = 0;                            ///< of the most urgent request without room
-    instant short_until_;
-    instant unreadable_due_; ///< the next one is reported from then on
+    int rejected_priority_ = 0;                         ///< of the most urgent rejected request
+    instant urgent_until_;
+    instant unreadable_report_due_; ///< earliest time of the next report
 };
 
 } // namespace hickorypost::gateway
--- a/modules/gateway/src/backend_limits.cpp
+++ b/modules/gateway/src/backend_limits.cpp
@@ -15,13 +15,13 @@
 {
 }
 
-void backend_limits::begin(const std::string& backend, double per_second)
+void backend_limits::set_limit(const std::string& backend, double per_second)
 {
     const instant now = now_();
     const auto [at, is_new] = entries_.try_emplace(backend);
     entry& it = at->second;
     it.per_second = per_second;
-    it.named = now;
+    it.confirmed_at = now;
     if (is_new) {
         it.uncoordinated_due = now;
     }
@@ -30,8 +30,8 @@
 void backend_limits::saw(const std::string& backend, const limit_statement& statement)
 {
     if (statement.kind == limit_statement::kind_type::unreadable) {
-        if (now_() >= unreadable_due_) {
-            unreadable_due_ = now_() + settings_.min_announce_interval;
+        if (now_() >= unreadable_report_due_) {
+            unreadable_report_due_ = now_() + settings_.min_announce_interval;
             unreadable_(backend);
         }
         return;
@@ -44,7 +44,7 @@
         }
         return;
     }
-    begin(backend, statement.per_second);
+    set_limit(backend, statement.per_second);
     entry& it = entries_.at(backend);
     const instant now = now_();
     const bool differs = !it.announced || std::abs(*it.announced - it.per_second) >
@@ -65,11 +65,12 @@
     const bool known = found != entries_.end();
     const std::uint64_t sent = known ? found->second.sent : 0;
     const bool changed = limit_of(backend) != limit;
-    // Well below the interval of refreshes, and above the time in which copies of one arrive.
+    // Half the refresh interval is less than the time between refreshes and more than the time in
+    // which duplicates of one refresh arrive.
     const bool is_refresh =
         known && limit && now_() >= found->second.announced_at + settings_.refresh_interval / 2;
     if (limit) {
-        begin(backend, *limit);
+        set_limit(backend, *limit);
         entry& it = entries_.at(backend);
         it.announced = limit;
         it.announced_at = now_();
@@ -90,8 +91,9 @@
 void backend_limits::expire()
 {
     const instant now = now_();
-    std::erase_if(entries_,
-                  [&](const auto& it) { return now > it.second.named + settings_.lifetime; });
+    std::erase_if(entries_, [&](const auto& it) {
+        return now > it.second.confirmed_at + settings_.lifetime;
+    });
 }
 
 std::optional<double> backend_limits::limit_of(std::string_view backend) const
@@ -100,10 +102,10 @@
     return found == entries_.end() ? std::nullopt : std::optional{found->second.per_second};
 }
 
-bool backend_limits::uncoordinated(const entry& it) const
+bool backend_limits::may_send_uncoordinated(const entry& it) const
 {
     const instant now = now_();
-    return it.unanswered_since && now > *it.unanswered_since + settings_.reply_timeout &&
+    return it.no_reply_since && now > *it.no_reply_since + settings_.reply_timeout &&
            now >= it.uncoordinated_due;
 }
 
@@ -114,13 +116,13 @@
         return true;
     }
     const instant now = now_();
-    const bool yields = priority > short_priority_ && now < short_until_;
+    const bool yields = priority > rejected_priority_ && now < urgent_until_;
     const millis reserved = yields ? settings_.urgent_reserve : millis{0};
     const auto& permits = found->second.permits;
     const bool permitted = std::any_of(permits.begin(), permits.end(), [&](instant granted) {
         return now >= granted + reserved && now < granted + settings_.permit_lifetime;
     });
-    return permitted || uncoordinated(found->second);
+    return permitted || may_send_uncoordinated(found->second);
 }
 
 void backend_limits::sent(std::string_view backend)
@@ -131,7 +133,7 @@
     }
     entry& it = found->second;
     const instant now = now_();
-    it.wanted.reset();
+    it.pending_priority.reset();
     ++it.sent;
     std::erase_if(it.permits,
                   [&](instant granted) { return now >= granted + settings_.permit_lifetime; });
@@ -154,8 +156,8 @@
         return;
     }
     entry& it = found->second;
-    it.wanted = it.wanted ? std::min(*it.wanted, priority) : priority;
-    if (now_() >= it.asked + settings_.ask_again) {
+    it.pending_priority = it.pending_priority ? std::min(*it.pending_priority, priority) : priority;
+    if (now_() >= it.requested_at + settings_.request_retry_interval) {
         requested_();
     }
 }
@@ -163,9 +165,9 @@
 void backend_limits::note_rejection(int priority)
 {
     const instant now = now_();
-    if (now >= short_until_ || priority <= short_priority_) {
-        short_priority_ = priority;
-        short_until_ = now + settings_.urgent_hold;
+    if (now >= urgent_until_ || priority <= rejected_priority_) {
+        rejected_priority_ = priority;
+        urgent_until_ = now + settings_.urgent_hold;
     }
 }
 
@@ -177,12 +179,12 @@
     }
     entry& it = found->second;
     const instant now = now_();
-    it.unanswered_since.reset();
+    it.no_reply_since.reset();
     if (reply.granted) {
         it.permits.push_back(now);
-        it.asked = {};
+        it.requested_at = {};
     } else {
-        it.room_at = now + reply.room_in;
+        it.expected_permit_at = now + reply.room_in;
     }
 }
 
@@ -193,16 +195,17 @@
     for (const auto& backend : backends) {
         const auto found = entries_.find(backend);
         if (found == entries_.end()) {
-            return millis{0}; // its limit has ended meanwhile
+            return millis{0}; // the limit has ended
         }
         const entry& it = found->second;
-        // Without a reply: as if all hosts took turns.
+        // Without a reply, assume that all hosts are served in rotation.
         constexpr double micros_per_second = 1e6;
         constexpr double min_per_second = 1e-3;
-        const double turn = micros_per_second * static_cast<double>(hosts_()) /
-                            std::max(it.per_second, min_per_second);
-        const micros known =
-            it.room_at > now ? it.room_at - now : micros{static_cast<std::int64_t>(turn)};
+        const double rotation_us = micros_per_second * static_cast<double>(hosts_()) /
+                                   std::max(it.per_second, min_per_second);
+        const micros known = it.expected_permit_at > now
+                                 ? it.expected_permit_at - now
+                                 : micros{static_cast<std::int64_t>(rotation_us)};
         out = std::min(out, known);
     }
     return std::chrono::duration_cast<millis>(out);
@@ -213,23 +216,23 @@
     const instant now = now_();
     std::vector<std::pair<const std::string*, entry*>> due;
     for (auto& [backend, it] : entries_) {
-        if (it.wanted && now >= it.asked + settings_.ask_again) {
+        if (it.pending_priority && now >= it.requested_at + settings_.request_retry_interval) {
             due.emplace_back(&backend, &it);
         }
     }
-    // Among equals in turn, so that each limit is used.
+    // Round robin among equal priorities, so that permits are requested for every limit.
     std::stable_sort(due.begin(), due.end(), [](const auto& a, const auto& b) {
-        return std::pair{*a.second->wanted, a.second->asked} <
-               std::pair{*b.second->wanted, b.second->asked};
+        return std::pair{*a.second->pending_priority, a.second->requested_at} <
+               std::pair{*b.second->pending_priority, b.second->requested_at};
     });
     due.resize(std::min(due.size(), settings_.max_requests_per_message));
     std::vector<permit_request> out;
     for (const auto& [backend, it] : due) {
-        out.push_back({*backend, it->per_second, *it->wanted});
-        it->asked = now;
-        it->wanted.reset();
-        if (!it->unanswered_since) {
-            it->unanswered_since = now;
+        out.push_back({*backend, it->per_second, *it->pending_priority});
+        it->requested_at = now;
+        it->pending_priority.reset();
+        if (!it->no_reply_since) {
+            it->no_reply_since = now;
         }
     }
     return out;
--- a/modules/gateway/tests/backend_limits_test.cpp
+++ b/modules/gateway/tests/backend_limits_test.cpp
@@ -8,7 +8,7 @@
 using namespace hickorypost::gateway;
 using kind = limit_statement::kind_type;
 
-struct one_host {
+struct limits_host {
     instant now{millis{100'000}};
     std::vector<limit_change> changes;
     int unreadable = 0;
@@ -25,10 +25,11 @@
 
 BOOST_AUTO_TEST_SUITE(backend_limits_suite)
 
-// Guards against a limit of which nobody is notified, and against one that outlasts its end.
-BOOST_AUTO_TEST_CASE(limit_begins_changes_and_ends_with_the_answers)
+// Guards against changes of a limit without notification, and against a limit that is kept after
+// responses state its end.
+BOOST_AUTO_TEST_CASE(limit_follows_the_responses)
 {
-    one_host it;
+    limits_host it;
     it.limits.saw("i-1", {});
     BOOST_TEST(it.changes.empty());
     it.limits.saw("i-1", {kind::named, 2.5});
@@ -42,10 +43,11 @@
     BOOST_TEST(!it.changes[2].per_second.has_value());
 }
 
-// Guards against a line and a message for each answer, when each names another value.
+// Guards against a log line and a broadcast for each response when every response states another
+// limit.
 BOOST_AUTO_TEST_CASE(changes_are_announced_at_a_bounded_rate)
 {
-    one_host it;
+    limits_host it;
     for (int n = 0; n < 1000; ++n) {
         it.limits.saw("i-1", {kind::named, 2.0 + n % 7});
         it.now += millis{5};
@@ -53,10 +55,10 @@
     BOOST_TEST(it.changes.size() <= 6U);
 }
 
-// Guards against a value that cannot be understood, which neither ends a limit nor floods the log.
+// Guards against an unparsable value that ends a limit or floods the log.
 BOOST_AUTO_TEST_CASE(unreadable_limit_changes_nothing)
 {
-    one_host it;
+    limits_host it;
     it.limits.saw("i-1", {kind::named, 2.5});
     for (int n = 0; n < 100; ++n) {
         it.limits.saw("i-1", {kind::unreadable, 0});
@@ -67,21 +69,22 @@
     BOOST_TEST(it.unreadable == 1);
 }
 
-// Guards against a limit that lasts for ever, when no answer comes any more.
-BOOST_AUTO_TEST_CASE(limit_that_no_answer_names_is_forgotten)
+// Guards against a limit that is kept forever when responses no longer arrive.
+BOOST_AUTO_TEST_CASE(limit_without_responses_expires)
 {
-    one_host it;
+    limits_host it;
     it.limits.saw("i-1", {kind::named, 0});
     it.now += millis{61'000};
     it.limits.expire();
     BOOST_TEST(it.limits.empty());
 }
 
-// Guards against limits that nobody uses, where more are limited than a message has room for.
-BOOST_AUTO_TEST_CASE(permits_are_requested_for_all_limited_backends_in_turn)
+// Guards against backend servers for which no permit is ever requested, when there are more of them
+// than fit into one message.
+BOOST_AUTO_TEST_CASE(permits_are_requested_for_all_limited_backends_round_robin)
 {
-    one_host it;
-    std::map<std::string, int> asked;
+    limits_host it;
+    std::map<std::string, int> requests_sent;
     for (int turn = 0; turn < 200; ++turn) {
         for (int n = 0; n < 150; ++n) {
             const std::string backend = "i-" + std::to_string(n);
@@ -89,43 +92,44 @@
             it.limits.request_permit(backend, 1);
         }
         for (const auto& request : it.limits.take_requests()) {
-            ++asked[request.backend];
+            ++requests_sent[request.backend];
             it.limits.replied({request.backend, false, {}});
         }
         it.now += millis{20};
     }
-    BOOST_TEST(asked.size() == 150U);
-    for (const auto& [backend, n] : asked) {
+    BOOST_TEST(requests_sent.size() == 150U);
+    for (const auto& [backend, n] : requests_sent) {
         BOOST_TEST(n >= 5);
     }
 }
 
-// Guards against a host that forgets a limit, and exceeds it, as others get all the answers.
-BOOST_AUTO_TEST_CASE(limit_is_kept_while_answers_to_other_hosts_name_it)
+// Guards against a host that drops a limit and exceeds it, because only other hosts get responses
+// of the backend server.
+BOOST_AUTO_TEST_CASE(limit_is_kept_while_responses_to_other_hosts_state_it)
 {
-    one_host near;
-    one_host far;
+    limits_host receiver;
+    limits_host observer;
     std::size_t messages = 0;
     for (int n = 0; n < 3000; ++n) {
-        const std::size_t before = near.changes.size();
-        near.limits.saw("i-1", {kind::named, 2.4});
-        if (near.changes.size() > before) {
+        const std::size_t before = receiver.changes.size();
+        receiver.limits.saw("i-1", {kind::named, 2.4});
+        if (receiver.changes.size() > before) {
             ++messages;
-            far.limits.take("i-1", 2.4);
+            observer.limits.take("i-1", 2.4);
         }
-        near.now += millis{100};
-        far.now += millis{100};
-        near.limits.expire();
-        far.limits.expire();
-        BOOST_REQUIRE(far.limits.limit_of("i-1").has_value());
+        receiver.now += millis{100};
+        observer.now += millis{100};
+        receiver.limits.expire();
+        observer.limits.expire();
+        BOOST_REQUIRE(observer.limits.limit_of("i-1").has_value());
     }
     BOOST_TEST(messages <= 31U);
 }
 
-// Guards against refreshes that are not passed on, and copies of one that go round for ever.
-BOOST_AUTO_TEST_CASE(announcement_is_passed_on_once)
+// Guards against refreshes that are not forwarded, and against duplicates that circulate forever.
+BOOST_AUTO_TEST_CASE(announcement_is_forwarded_once)
 {
-    one_host it;
+    limits_host it;
     BOOST_TEST(it.limits.take("i-1", 2.4).is_news);
     it.now += millis{5};
     BOOST_TEST(!it.limits.take("i-1", 2.4).is_news);
@@ -138,10 +142,10 @@
     BOOST_TEST(!it.limits.take("i-1", std::nullopt).is_news);
 }
 
-// Guards against telling a caller to come back late for a limit that has just ended.
+// Guards against a long retry delay to a caller although the limit has just ended.
 BOOST_AUTO_TEST_CASE(ended_limit_has_room_at_once)
 {
-    one_host it;
+    limits_host it;
     it.limits.take("i-1", 0.5);
     const std::vector<std::string> backends{"i-1", "i-2"};
     BOOST_TEST(it.limits.room_in(backends).count() == 0);
