--- a/modules/gateway/include/hickorypost/gateway/permit_coordinator.h
+++ b/modules/gateway/include/hickorypost/gateway/permit_coordinator.h
@@ -11,54 +11,60 @@
 namespace hickorypost::gateway {
 
 struct coordinator_settings {
-    /// Requests a second that a backend server gets at least, however low its limit, so that an
-    /// answer can end it.
+    /// Minimum rate of permits per second for a backend server, however low its limit. Without any
+    /// request no response could state the end of the limit.
     double min_per_second = 0.2;
-    /// A request that is not repeated is dropped after this long.
+    /// Time after which a permit request that is not repeated is dropped.
     millis request_lifetime{600};
-    /// A backend server that nobody asks for is forgotten after this long.
+    /// Time after which the state of a backend server without permit requests is dropped.
     millis lifetime{60'000};
 };
 
-/// Grants permits for limited backend servers on behalf of all hosts, at the rate of each limit,
-/// to the most urgent requests first, then round robin. Runs on one host. Performs no I/O itself.
+/// Grants permits for rate-limited backend servers to all hosts, at the rate of each limit. The
+/// most urgent requests come first, those of equal priority in order of arrival. Runs on one host.
+/// Performs no I/O itself.
 class permit_coordinator {
 public:
     explicit permit_coordinator(coordinator_settings settings) : settings_{settings} {}
 
-    /// A host asks for a permit. One that is not granted now waits for its turn in `due`.
+    /// Handles a permit request. If it is not granted at once, it is queued and granted by `due`.
     permit_reply ask(const node_id& host, const permit_request& request, instant now);
 
     struct grant {
         node_id host;
         std::string backend;
     };
-    /// Permits whose turn has come.
+    /// Grants permits to queued requests, as far as the rates allow.
     std::vector<grant> due(instant now);
-    /// No host waits for a permit.
+    /// Whether no host waits for a permit.
     [[nodiscard]] bool idle() const;
+    /// Drops backend servers without permit requests for `coordinator_settings::lifetime`.
     void expire(instant now);
 
 private:
-    struct waiting {
+    /// A queued permit request.
+    struct queued_request {
         node_id host;
         int priority = 0;
-        std::uint64_t number = 0;
-        instant until;
+        std::uint64_t arrival = 0; ///< order of arrival, kept when the request is repeated
+        instant expires_at;
     };
+    /// Rate limiter of one backend server.
     struct bucket {
         double per_second = 0;
-        instant next; ///< when the next permit may be granted
-        instant asked;
-        std::vector<waiting> queue; ///< in the order in which they are granted
+        instant next; ///< earliest time of the next permit
+        instant last_request_at;
+        std::vector<queued_request> queue; ///< by priority, then by `arrival`
     };
 
-    [[nodiscard]] micros gap(const bucket& it) const;
-    void take_one(bucket& it, instant now) const;
+    /// Interval between two permits.
+    [[nodiscard]] micros permit_interval(const bucket& it) const;
+    /// Accounts for one granted permit.
+    void consume_permit(bucket& it, instant now) const;
 
     coordinator_settings settings_;
     std::map<std::string, bucket> buckets_; ///< by incarnation
-    std::uint64_t last_ = 0;
+    std::uint64_t last_number_ = 0;
 };
 
 } // namespace hickorypost::gateway
--- a/modules/gateway/tests/permit_coordinator_test.cpp
+++ b/modules/gateway/tests/permit_coordinator_test.cpp
@@ -13,10 +13,10 @@
 
 constexpr millis window{4000};
 
-/// Many hosts and one backend server with a limit, in virtual time with a delay between hosts.
-class limited_site {
+/// Simulates several hosts and one rate-limited backend server, with a message delay between hosts.
+class limit_simulation {
 public:
-    limited_site(std::size_t hosts, double limit)
+    limit_simulation(std::size_t hosts, double limit)
     {
         for (std::size_t n = 0; n < hosts; ++n) {
             hosts_.push_back(std::make_unique<backend_limits>(
@@ -33,7 +33,7 @@
         }
     }
 
-    /// A request of that priority at that host. Returns true if it may be sent.
+    /// A request arrives at `host`. Returns true if it may be sent.
     bool request(std::size_t host, int priority = 0)
     {
         auto& limits = *hosts_[host];
@@ -57,19 +57,19 @@
                 }
                 ++messages;
                 const auto reply = coordinator_.ask(std::to_string(n), wanted, now);
-                on_the_way_.push_back({now + delay, n, reply});
+                in_flight_.push_back({now + delay, n, reply});
             }
         }
         for (const auto& it : coordinator_.due(now)) {
-            on_the_way_.push_back({now + delay, std::stoul(it.host), {it.backend, true, {}}});
+            in_flight_.push_back({now + delay, std::stoul(it.host), {it.backend, true, {}}});
         }
-        while (!on_the_way_.empty() && on_the_way_.front().at <= now) {
-            hosts_[on_the_way_.front().host]->replied(on_the_way_.front().reply);
-            on_the_way_.pop_front();
+        while (!in_flight_.empty() && in_flight_.front().at <= now) {
+            hosts_[in_flight_.front().host]->replied(in_flight_.front().reply);
+            in_flight_.pop_front();
         }
     }
 
-    /// Requests at random hosts, `per_second` of them in all.
+    /// Simulates requests at random hosts, `per_second` in total.
     void run(millis time, double per_second)
     {
         std::mt19937 random{11};
@@ -78,10 +78,11 @@
         for (const instant end = now + time; now < end;) {
             step();
             for (double due = per_second / 200; draw(random) < due; due -= 1) {
-                // Demand is uneven: half of the requests come to a tenth of the hosts.
-                const bool busy = draw(random) < 0.5;
-                const auto part = static_cast<double>(hosts_.size()) * (busy ? 0.1 : 1.0);
-                request(static_cast<std::size_t>(draw(random) * part));
+                // Uneven demand: half of the requests arrive at a tenth of the hosts.
+                const bool from_busy_hosts = draw(random) < 0.5;
+                const auto host_count =
+                    static_cast<double>(hosts_.size()) * (from_busy_hosts ? 0.1 : 1.0);
+                request(static_cast<std::size_t>(draw(random) * host_count));
             }
         }
     }
@@ -113,21 +114,21 @@
 
     std::vector<std::unique_ptr<backend_limits>> hosts_;
     permit_coordinator coordinator_{{}};
-    std::deque<message> on_the_way_;
+    std::deque<message> in_flight_;
 };
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(permit_coordinator_suite)
 
-// Guards against hosts that keep the limit each by itself and exceed it together, and against a
-// limited backend server that gets less than it takes.
-BOOST_AUTO_TEST_CASE(sum_over_all_hosts_keeps_the_limit_and_uses_it)
+// Guards against hosts that each stay below the limit but exceed it together, and against permits
+// that stay unused although there is demand.
+BOOST_AUTO_TEST_CASE(total_rate_of_all_hosts_stays_below_and_near_the_limit)
 {
     for (const auto& [hosts, limit, demand] : {std::tuple{std::size_t{8}, 2.4, 40.0},
                                                {std::size_t{105}, 2.4, 900.0},
                                                {std::size_t{105}, 60.0, 900.0}}) {
-        limited_site it{hosts, limit};
+        limit_simulation it{hosts, limit};
         it.run(millis{20'000}, demand);
         const double per_window = limit * static_cast<double>(window.count()) / 1000;
         BOOST_TEST(static_cast<double>(it.busiest_window()) <= 1.5 * per_window + 5);
@@ -135,38 +136,39 @@
     }
 }
 
-// Guards against asking for permits with a message for each request.
-BOOST_AUTO_TEST_CASE(permit_requests_are_bounded_however_many_requests_come)
+// Guards against one permit message per request.
+BOOST_AUTO_TEST_CASE(permit_messages_are_bounded_under_overload)
 {
-    limited_site it{8, 2.4};
+    limit_simulation it{8, 2.4};
     it.run(millis{10'000}, 2000);
     constexpr std::size_t hosts_times_quarters = std::size_t{8} * 40;
     BOOST_TEST(it.messages <= hosts_times_quarters + it.sent.size() + 8U);
 }
 
-// Guards against hosts that send more, not less, when nobody grants permits.
+// Guards against hosts that exceed the limit when the coordinator does not reply.
 BOOST_AUTO_TEST_CASE(hosts_without_a_coordinator_send_less_than_their_share)
 {
-    limited_site it{8, 4};
+    limit_simulation it{8, 4};
     it.coordinator_answers = false;
     it.run(millis{20'000}, 400);
     BOOST_TEST(it.sent.size() > 0U);
     BOOST_TEST(static_cast<double>(it.busiest_window()) <= 4 * 4 + 5);
 }
 
-// Guards against a limit so low that no request, and so no answer that ends it, ever comes.
-BOOST_AUTO_TEST_CASE(limit_of_zero_still_lets_a_request_through_now_and_then)
+// Guards against a limit of zero that lasts forever because no request is sent whose response could
+// end it.
+BOOST_AUTO_TEST_CASE(limit_of_zero_still_permits_occasional_requests)
 {
-    limited_site it{8, 0};
+    limit_simulation it{8, 0};
     it.run(millis{20'000}, 40);
     BOOST_TEST(it.sent.size() >= 2U);
     BOOST_TEST(it.busiest_window() <= 5U);
 }
 
-// Guards against urgent requests that are rejected while less urgent ones use the permits.
+// Guards against less urgent requests that use the permits while urgent ones are rejected.
 BOOST_AUTO_TEST_CASE(more_urgent_requests_come_first)
 {
-    limited_site it{2, 5};
+    limit_simulation it{2, 5};
     std::size_t urgent = 0;
     std::size_t other = 0;
     for (int n = 0; n < 4000; ++n) {
@@ -177,10 +179,10 @@
     BOOST_TEST(urgent > 5 * other);
 }
 
-// Guards against permits that expire unused, reserved for urgent requests that seldom come.
+// Guards against permits that expire unused because they are reserved for rare urgent requests.
 BOOST_AUTO_TEST_CASE(few_urgent_requests_do_not_keep_others_from_unused_permits)
 {
-    limited_site it{8, 12};
+    limit_simulation it{8, 12};
     std::mt19937 random{5};
     std::uniform_int_distribution<std::size_t> host{0, 7};
     for (int n = 0; n < 4000; ++n) {
@@ -193,7 +195,7 @@
     BOOST_TEST(static_cast<double>(it.sent.size()) >= 0.7 * 12 * 20);
 }
 
-// Guards against a permit for a host that has stopped asking.
+// Guards against granting a permit to a host that no longer requests one.
 BOOST_AUTO_TEST_CASE(permit_request_that_is_not_repeated_is_dropped)
 {
     permit_coordinator coordinator{{}};
@@ -204,8 +206,8 @@
     BOOST_TEST(coordinator.idle());
 }
 
-// Guards against telling callers to come back before there can be room.
-BOOST_AUTO_TEST_CASE(reply_says_when_there_is_room)
+// Guards against a retry delay that ends before a permit can be granted.
+BOOST_AUTO_TEST_CASE(reply_states_the_expected_time_until_a_permit)
 {
     permit_coordinator coordinator{{}};
     const instant now{millis{1000}};
