--- a/modules/gateway/include/hickorypost/gateway/heartbeat_relay.h
+++ b/modules/gateway/include/hickorypost/gateway/heartbeat_relay.h
@@ -8,38 +8,40 @@
 
 namespace hickorypost::gateway {
 
-/// Heartbeats without other news that wait for this host's turn to tell them. Sans I/O.
+/// Collects heartbeats that carry only a sequence, for the next periodic message to other hosts.
+/// Performs no I/O.
 ///
-/// What a host took itself must reach the others whatever comes in meanwhile: others hold a backend
-/// server for silent after a few seconds, and it then stands idle while the rest is overloaded.
+/// A heartbeat that this host received from the backend server itself must be sent regardless of
+/// what arrives from other hosts in between. Otherwise other hosts treat the backend server as
+/// silent after a few seconds, and it is idle while the rest is overloaded.
 class heartbeat_relay {
 public:
-    /// `passes_on`: this host also tells what others took; hosts with a disk do.
-    explicit heartbeat_relay(bool passes_on) : passes_on_{passes_on} {}
+    /// `forward`: whether to forward heartbeats from other hosts, as hosts with a disk do.
+    explicit heartbeat_relay(bool forward) : forward_{forward} {}
 
-    /// A backend server brought its heartbeat to this host.
+    /// Adds a heartbeat that this host received from the backend server itself.
     void took(const std::string& backend, std::uint64_t sequence)
     {
-        auto& newest = waiting_[backend];
+        auto& newest = pending_[backend];
         newest = std::max(newest, sequence);
     }
-    /// Another host told of it. Only news goes on from here, or two hosts would tell each other the
-    /// same for ever.
+    /// Adds a heartbeat received from another host. Only a new sequence is forwarded; otherwise two
+    /// hosts would send the same heartbeat to each other forever.
     void heard(const std::string& backend, std::uint64_t sequence, bool is_news)
     {
-        if (passes_on_ && is_news) {
+        if (forward_ && is_news) {
             took(backend, sequence);
         }
     }
-    /// What is to be told now, by incarnation with its newest sequence.
+    /// Returns and clears the collected heartbeats: the newest sequence by incarnation.
     [[nodiscard]] std::map<std::string, std::uint64_t> take()
     {
-        return std::exchange(waiting_, {});
+        return std::exchange(pending_, {});
     }
 
 private:
-    bool passes_on_;
-    std::map<std::string, std::uint64_t> waiting_;
+    bool forward_;
+    std::map<std::string, std::uint64_t> pending_;
 };
 
 } // namespace hickorypost::gateway
