--- a/modules/gateway/include/hickorypost/gateway/load_table.h
+++ b/modules/gateway/include/hickorypost/gateway/load_table.h
@@ -10,51 +10,55 @@
 namespace hickorypost::gateway {
 
 struct load_table_settings {
-    /// A sum that has moved by less is not told again. A short prompt takes 5 to 20 ms to read; the
-    /// long ones that make others wait take 50 ms to 3 s.
-    double least_reading_ms = 15;
-    double least_requests = 3;
+    /// Smallest changes of a backend server's total load that are reported. Prefill of a short
+    /// prompt takes 5 to 20 ms; that of the long prompts that delay others takes 50 ms to 3 s.
+    double min_prefill_change_ms = 15;
+    double min_requests_change = 3;
 };
 
-/// Who has how much work on which backend server, and which of the sums others should hear of.
+/// The load of each gateway process on each backend server. Determines which totals have changed
+/// enough to be reported to other processes. Performs no I/O.
 ///
-/// Load pattern: a prompt of 30,000 tokens occupies an engine for a second. Processes that hear of
-/// it 200 ms late send theirs there too: of 18,000 first events 1,919 came more than 300 ms later
-/// than their sender expected, and all but 98 of them had waited behind such a prompt. So what
-/// changes is told at once, and only what has changed enough to matter. Sans I/O.
+/// Changes are reported immediately, because a prompt of 30,000 tokens occupies an engine for a
+/// second and processes that learn of it 200 ms late send their requests to the same engine. With
+/// reports that late, 1,919 of 18,000 first events came more than 300 ms later than expected, and
+/// all but 98 of these had waited behind such a prompt. Changes too
+/// small to affect placement are not reported.
 class load_table {
 public:
     explicit load_table(load_table_settings settings) : settings_{settings} {}
 
-    /// `source` has this work on `backend`; nothing, if both figures are 0. True if the sum has
-    /// moved enough to be told.
+    /// Sets the load of process `source` on `backend`; zero load removes the entry. Returns true if
+    /// the total has changed enough to be reported.
     bool set(const std::string& source, const std::string& backend, const remote_load& load);
-    /// `source` has all its work here, and none elsewhere. Gives the backend servers concerned.
+    /// Replaces all load of `source` by `loads`. Returns the affected backend servers.
     std::vector<std::string> replace(const std::string& source,
                                      const std::map<std::string, remote_load>& loads);
-    /// `source` is gone, and its work with it. Gives the backend servers concerned.
+    /// Removes all load of `source`. Returns the affected backend servers.
     std::vector<std::string> forget(const std::string& source) { return replace(source, {}); }
 
-    /// The work of all sources but one.
+    /// The load of all processes except `source` on a backend server.
     [[nodiscard]] remote_load without(const std::string& source, const std::string& backend) const;
-    /// Backend servers whose sums have moved enough since they were last taken here.
+    /// Returns the backend servers whose totals must be reported, and marks them as reported.
     std::vector<std::string> take_changed();
-    /// All backend servers with work.
+    /// All backend servers with load.
     [[nodiscard]] std::vector<std::string> all() const;
 
 private:
+    /// The load on one backend server.
     struct row {
-        std::map<std::string, remote_load> parts; ///< by source
-        remote_load sum;
-        remote_load told;
-        bool moved = false;
+        std::map<std::string, remote_load> loads_by_source; ///< by source
+        remote_load total;
+        remote_load reported; ///< total at the last report
+        bool is_changed = false;
     };
 
-    void add_up(row& it, const std::string& backend);
+    /// Recomputes the total and marks the row if it must be reported.
+    void update_total(row& it, const std::string& backend);
 
     load_table_settings settings_;
     std::unordered_map<std::string, row> rows_;
-    std::vector<std::string> moved_;
+    std::vector<std::string> changed_;
 };
 
 } // namespace hickorypost::gateway
--- a/modules/gateway/src/load_table.cpp
+++ b/modules/gateway/src/load_table.cpp
@@ -7,38 +7,38 @@
 
 namespace {
 
-bool is_nothing(const remote_load& it)
+bool is_zero(const remote_load& it)
 {
     return it.requests <= 0 && it.prefill_ms <= 0;
 }
 
 } // namespace
 
-void load_table::add_up(row& it, const std::string& backend)
+void load_table::update_total(row& it, const std::string& backend)
 {
-    it.sum = {};
-    for (const auto& [source, part] : it.parts) {
-        it.sum.requests += part.requests;
-        it.sum.prefill_ms += part.prefill_ms;
+    it.total = {};
+    for (const auto& [source, part] : it.loads_by_source) {
+        it.total.requests += part.requests;
+        it.total.prefill_ms += part.prefill_ms;
     }
-    const bool far =
-        std::abs(it.sum.prefill_ms - it.told.prefill_ms) >= settings_.least_reading_ms ||
-        std::abs(it.sum.requests - it.told.requests) >= settings_.least_requests;
-    if (far && !std::exchange(it.moved, true)) {
-        moved_.push_back(backend);
+    const bool exceeds_threshold =
+        std::abs(it.total.prefill_ms - it.reported.prefill_ms) >= settings_.min_prefill_change_ms ||
+        std::abs(it.total.requests - it.reported.requests) >= settings_.min_requests_change;
+    if (exceeds_threshold && !std::exchange(it.is_changed, true)) {
+        changed_.push_back(backend);
     }
 }
 
 bool load_table::set(const std::string& source, const std::string& backend, const remote_load& load)
 {
     row& it = rows_[backend];
-    if (is_nothing(load)) {
-        it.parts.erase(source);
+    if (is_zero(load)) {
+        it.loads_by_source.erase(source);
     } else {
-        it.parts[source] = load;
+        it.loads_by_source[source] = load;
     }
-    add_up(it, backend);
-    return it.moved;
+    update_total(it, backend);
+    return it.is_changed;
 }
 
 std::vector<std::string> load_table::replace(const std::string& source,
@@ -46,7 +46,7 @@
 {
     std::vector<std::string> out;
     for (const auto& [backend, it] : rows_) {
-        if (it.parts.contains(source) && !loads.contains(backend)) {
+        if (it.loads_by_source.contains(source) && !loads.contains(backend)) {
             out.push_back(backend);
         }
     }
@@ -67,7 +67,7 @@
     if (found == rows_.end()) {
         return out;
     }
-    for (const auto& [name, part] : found->second.parts) {
+    for (const auto& [name, part] : found->second.loads_by_source) {
         if (name != source) {
             out.requests += part.requests;
             out.prefill_ms += part.prefill_ms;
@@ -78,22 +78,22 @@
 
 std::vector<std::string> load_table::take_changed()
 {
-    for (const auto& backend : moved_) {
+    for (const auto& backend : changed_) {
         const auto found = rows_.find(backend);
-        found->second.told = found->second.sum;
-        found->second.moved = false;
-        if (found->second.parts.empty()) {
+        found->second.reported = found->second.total;
+        found->second.is_changed = false;
+        if (found->second.loads_by_source.empty()) {
             rows_.erase(found);
         }
     }
-    return std::exchange(moved_, {});
+    return std::exchange(changed_, {});
 }
 
 std::vector<std::string> load_table::all() const
 {
     std::vector<std::string> out;
     for (const auto& [backend, it] : rows_) {
-        if (!it.parts.empty()) {
+        if (!it.loads_by_source.empty()) {
             out.push_back(backend);
         }
     }
--- a/modules/gateway/tests/load_table_test.cpp
+++ b/modules/gateway/tests/load_table_test.cpp
@@ -10,9 +10,9 @@
 
 BOOST_AUTO_TEST_SUITE(load_table_suite)
 
-// One process sends a long prompt. The others must hear of it at once, not at the next turn, or
-// theirs wait behind it for a second.
-BOOST_AUTO_TEST_CASE(a_long_prompt_is_told_at_once_and_short_ones_only_when_they_add_up)
+// Guards against reporting a long prompt only periodically: other processes would send their
+// requests to the same engine, where they wait for a second.
+BOOST_AUTO_TEST_CASE(long_prompt_is_reported_at_once_and_short_prompts_when_they_accumulate)
 {
     load_table it{{}};
     BOOST_TEST(!it.set("a", "engine", {1, 10}));
@@ -24,7 +24,7 @@
     BOOST_TEST(it.set("a", "engine", {3, 26}));
 }
 
-BOOST_AUTO_TEST_CASE(what_a_process_is_told_leaves_out_its_own_work)
+BOOST_AUTO_TEST_CASE(load_of_other_processes_excludes_the_own_load)
 {
     load_table it{{}};
     it.set("a", "engine", {2, 100});
@@ -36,9 +36,9 @@
     BOOST_TEST(it.without("a", "unknown").requests == 0);
 }
 
-// A process ends in the middle of its work. What it had counts for nobody any more, and that is
-// told like any other change.
-BOOST_AUTO_TEST_CASE(the_work_of_a_process_that_is_gone_is_forgotten_and_told)
+// Guards against counting the load of a process that has ended, and against not reporting its
+// removal.
+BOOST_AUTO_TEST_CASE(load_of_an_ended_process_is_removed_and_reported)
 {
     load_table it{{}};
     it.set("a", "one", {5, 200});
@@ -51,7 +51,7 @@
     BOOST_TEST(it.all() == std::vector<std::string>{"two"});
 }
 
-BOOST_AUTO_TEST_CASE(a_whole_report_replaces_what_was_there)
+BOOST_AUTO_TEST_CASE(full_report_replaces_the_previous_one)
 {
     load_table it{{}};
     it.set("a", "one", {5, 200});
