--- a/modules/gateway/include/hickorypost/gateway/decision_settings.h
+++ b/modules/gateway/include/hickorypost/gateway/decision_settings.h
@@ -10,27 +10,28 @@
 
 namespace hickorypost::gateway {
 
-/// The settings of all decisions of one process.
+/// Settings of all request-handling decisions of one gateway process.
 struct decision_settings {
     balancer_settings balancer;
     model_choice_settings models;
     exchange_settings exchange;
     judge_settings judge;
-    /// A process that has just started learns the newest state within a second. Requests that come
-    /// before wait for it: most callers come back only once after a refusal.
+    /// Longest time for which requests wait after the start of the process until it has the current
+    /// state, which takes up to a second. They wait because most callers retry only once after a
+    /// refusal.
     millis start_hold{1200};
 };
 
-/// A part of the decisions that can be switched off, to measure what it is worth.
+/// A mechanism that can be switched off, to measure its effect.
 struct mechanism {
     std::string_view name;
-    std::string_view about;
+    std::string_view about; ///< one line for the list of mechanisms
     void (*switch_off)(decision_settings&);
 };
 
-/// All of them, by name.
+/// All mechanisms, sorted by name.
 std::span<const mechanism> mechanisms();
-/// Null: there is none of that name.
+/// Returns null if there is no mechanism of that name.
 const mechanism* find_mechanism(std::string_view name);
 
 } // namespace hickorypost::gateway
--- a/modules/gateway/tests/decision_settings_test.cpp
+++ b/modules/gateway/tests/decision_settings_test.cpp
@@ -18,7 +18,7 @@
     BOOST_TEST(find_mechanism("no_such") == nullptr);
 }
 
-BOOST_AUTO_TEST_CASE(what_is_switched_off_decides_nothing_any_more)
+BOOST_AUTO_TEST_CASE(mechanism_switched_off_has_no_effect)
 {
     decision_settings settings;
     find_mechanism("way_quality")->switch_off(settings);
@@ -27,9 +27,9 @@
     const model_choice models{settings.models};
     route_spec route;
     route.models = {"small", "middle", "large"};
-    const std::vector<double> reading{1, 1, 1};
+    const std::vector<double> prefill{1, 1, 1};
     const hickorypost::millis plenty{10'000};
-    const auto next = models.after({route, 0, 0.45, hickorypost::millis{0}, plenty, 2, reading});
+    const auto next = models.after({route, 0, 0.45, hickorypost::millis{0}, plenty, 2, prefill});
     BOOST_TEST(next == 2U);
 }
 
