--- a/modules/gateway/include/hickorypost/gateway/load_balancer.h
+++ b/modules/gateway/include/hickorypost/gateway/load_balancer.h
@@ -108,7 +108,7 @@
 /// are placed on the same engine by rendezvous hashing. Performs no I/O itself.
 class load_balancer {
 public:
-    /// Called whenever this process' own load on a backend server changes.
+    /// Called whenever this process's own load on a backend server changes.
     using changed_fn = std::function<void(const std::string& backend, const remote_load& own)>;
 
     load_balancer(balancer_settings settings, std::string own_domain, random_fn random,
--- a/modules/gateway/include/hickorypost/gateway/load_table.h
+++ b/modules/gateway/include/hickorypost/gateway/load_table.h
@@ -47,7 +47,7 @@
 private:
     /// The load on one backend server.
     struct row {
-        std::map<std::string, remote_load> loads_by_source; ///< by source
+        std::map<std::string, remote_load> loads_by_source;
         remote_load total;
         remote_load reported; ///< total at the last report
         bool is_changed = false;
--- a/modules/gateway/tests/backend_directory_test.cpp
+++ b/modules/gateway/tests/backend_directory_test.cpp
@@ -176,7 +176,7 @@
 // only once in many seconds, so none would detect the failure in time from its own requests. Probe
 // failures are shared instead: processes in the prober's failure domain avoid the engine at once,
 // others after a failure in a second domain, and all use it again after its next heartbeat.
-BOOST_AUTO_TEST_CASE(backend_server_with_failed_probes_is_avoided_until_its_next_heartbeat)
+BOOST_AUTO_TEST_CASE(a_backend_server_that_others_found_silent_is_left_until_its_next_heartbeat)
 {
     backend_directory it{{}, "a"};
     it.take(heartbeat("dark", 0, 5, "h:1"), start);
--- a/modules/gateway/tests/load_balancer_test.cpp
+++ b/modules/gateway/tests/load_balancer_test.cpp
@@ -114,10 +114,10 @@
     BOOST_TEST(engines.choose(job, start + millis{20'000}) == "far");
 }
 
-// Two equal plain backend servers get one request at a time, and one answer of the first takes 60
-// ms instead of 12 ms by chance. Guards against sending every later request to the second because
+// Two equal plain backend servers get one request at a time. By chance, one answer of the first
+// takes 60 ms instead of 12 ms. Guards against sending every later request to the second because
 // its mean service time is a few milliseconds lower.
-BOOST_AUTO_TEST_CASE(idle_backend_server_is_measured_again_after_one_slow_answer)
+BOOST_AUTO_TEST_CASE(an_idle_backend_server_that_was_slow_once_is_measured_again)
 {
     engine_pool servers{2};
     instant now = start;
--- a/modules/gateway/tests/model_choice_test.cpp
+++ b/modules/gateway/tests/model_choice_test.cpp
@@ -154,7 +154,7 @@
 }
 
 // Guards against never using a larger model again after a period in which it was slow.
-BOOST_AUTO_TEST_CASE(model_that_was_slow_is_tried_again)
+BOOST_AUTO_TEST_CASE(model_that_was_slow_once_is_asked_again)
 {
     constexpr int requests = 5000;
     model_choice it{{}};
@@ -170,7 +170,7 @@
 }
 
 // Guards against losing many requests to a slow model by trying it again too often.
-BOOST_AUTO_TEST_CASE(model_that_stays_slow_is_tried_rarely)
+BOOST_AUTO_TEST_CASE(model_that_stays_slow_is_asked_seldom)
 {
     constexpr int requests = 5000;
     constexpr millis slow{20'000};
