--- a/bench/sharing_bench.cpp
+++ b/bench/sharing_bench.cpp
@@ -42,7 +42,7 @@
     std::size_t found = 0;
     const double idle = nanos_each([&](std::size_t) { found += empty.empty() ? 0 : 1; });
     const double outline =
-        nanos_each([&](std::size_t) { found += known.may_know(outline_of(parts)) ? 1 : 0; });
+        nanos_each([&](std::size_t) { found += known.may_contain(outline_of(parts)) ? 1 : 0; });
     const double standing = nanos_each([&](std::size_t n) {
         found += known.standing_of({n % 100, n % 100}) == crash_ledger::standing::refused ? 1 : 0;
     });
--- a/modules/gateway/include/hickorypost/gateway/crash_ledger.h
+++ b/modules/gateway/include/hickorypost/gateway/crash_ledger.h
@@ -81,7 +81,7 @@
     /// Crashes that it was in flight in, whether they count against it or not.
     [[nodiscard]] std::size_t known_crashes(const request_identity& identity) const;
     /// False for nearly all requests, without reading their bodies.
-    [[nodiscard]] bool may_know(std::uint64_t outline) const
+    [[nodiscard]] bool may_contain(std::uint64_t outline) const
     {
         return !outlines_.empty() && outlines_.contains(outline);
     }
--- a/modules/gateway/include/hickorypost/gateway/rollout_view.h
+++ b/modules/gateway/include/hickorypost/gateway/rollout_view.h
@@ -66,8 +66,8 @@
     void saw(const seen_answer& answer);
     /// How quickly a version answers: the mean interval of a stream's first events, or the whole of
     /// a plain answer. `like`: what it is compared with, as requests of one route.
-    void saw_pace(const std::string& service, const std::string& like, const std::string& version,
-                  micros pace);
+    void record_pace(const std::string& service, const std::string& like,
+                     const std::string& version, micros pace);
     /// Takes the tallies of services with a running roll-out, by service and whether the version is
     /// the new one.
     struct report_row {
--- a/modules/gateway/src/exchange.cpp
+++ b/modules/gateway/src/exchange.cpp
@@ -292,8 +292,8 @@
                                 own_failure, end - attempt_began_,
                                 services_.balancer.reading_ms(job, 0)});
         if (attempt_first_ == instant{} && !own_failure) {
-            services_.rollouts.saw_pace(record_.service, route_.name, record_.version,
-                                        end - attempt_began_);
+            services_.rollouts.record_pace(record_.service, route_.name, record_.version,
+                                           end - attempt_began_);
         }
     }
 }
--- a/modules/gateway/src/exchange_answer.cpp
+++ b/modules/gateway/src/exchange_answer.cpp
@@ -233,9 +233,9 @@
     attempt_events_ += events;
     if (!seen && attempt_events_ >= paced_events) {
         // All streams of a service share its engines' steps, whatever their route and model.
-        services_.rollouts.saw_pace(record_.service, {}, record_.version,
-                                    (now - attempt_first_) /
-                                        static_cast<std::int64_t>(attempt_events_));
+        services_.rollouts.record_pace(record_.service, {}, record_.version,
+                                       (now - attempt_first_) /
+                                           static_cast<std::int64_t>(attempt_events_));
     }
 }
 
--- a/modules/gateway/src/exchange_crashes.cpp
+++ b/modules/gateway/src/exchange_crashes.cpp
@@ -29,7 +29,7 @@
 
 crash_ledger::standing exchange::standing()
 {
-    if (services_.suspects.empty() || !services_.suspects.may_know(outline_of(parts()))) {
+    if (services_.suspects.empty() || !services_.suspects.may_contain(outline_of(parts()))) {
         return crash_ledger::standing::unknown;
     }
     return services_.suspects.standing_of(identity());
--- a/modules/gateway/src/rollout_view.cpp
+++ b/modules/gateway/src/rollout_view.cpp
@@ -282,8 +282,8 @@
     }
 }
 
-void rollout_view::saw_pace(const std::string& service, const std::string& like,
-                            const std::string& version, micros pace)
+void rollout_view::record_pace(const std::string& service, const std::string& like,
+                               const std::string& version, micros pace)
 {
     auto& it = services_[service];
     const bool running = it.known && it.status.phase == rollout_phase::running;
--- a/modules/gateway/tests/crash_ledger_test.cpp
+++ b/modules/gateway/tests/crash_ledger_test.cpp
@@ -230,7 +230,7 @@
     it.now += millis{2'000'000};
     it.ledger.expire();
     BOOST_TEST(it.ledger.empty());
-    BOOST_TEST(!it.ledger.may_know(crasher.outline));
+    BOOST_TEST(!it.ledger.may_contain(crasher.outline));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/modules/gateway/tests/parts_test.cpp
+++ b/modules/gateway/tests/parts_test.cpp
@@ -449,8 +449,8 @@
     const auto slow_of_new = [&](micros longer) {
         for (int n = 0; n < 200; ++n) {
             const micros took{1000 + n % 20 * 20};
-            view.saw_pace("app", "r", "v1", took);
-            view.saw_pace("app", "r", "v2", took + longer);
+            view.record_pace("app", "r", "v1", took);
+            view.record_pace("app", "r", "v2", took + longer);
         }
         std::uint64_t out = 0;
         for (const auto& row : view.take_report()) {
--- a/modules/gateway/tests/rollout_view_test.cpp
+++ b/modules/gateway/tests/rollout_view_test.cpp
@@ -160,7 +160,7 @@
     it.order("v3");
     const auto answer = [&](const std::string& version, millis took) {
         it.view.saw({"llm", "r", "m", version, false, took, 20});
-        it.view.saw_pace("llm", "r", version, took);
+        it.view.record_pace("llm", "r", version, took);
     };
     for (int n = 0; n < 40; ++n) {
         answer("v1", millis{20});
