--- a/modules/gateway/include/hickorypost/gateway/rollout_judge.h
+++ b/modules/gateway/include/hickorypost/gateway/rollout_judge.h
@@ -36,7 +36,7 @@
     /// more. Judged only while both versions answer, as load changes the pace of both: at least
     /// this many of the old version's in the window.
     rollout::test_options pace_test{.max_worse = 0.3, .confidence = 0.995, .floor_ratio = 0.25};
-    std::uint64_t least_paced = 20;
+    std::uint64_t min_paced_answers = 20;
     /// Nor is it judged once the old version has less than this part of the new one's answers: its
     /// stragglers have engines to themselves. Good versions that met twice the load on all traffic
     /// were sent back for it (95 of 226 answers slow, old version 3 of 30).
--- a/modules/gateway/src/decision_settings.cpp
+++ b/modules/gateway/src/decision_settings.cpp
@@ -32,9 +32,10 @@
               [](all_settings& it) { it.balancer.heeds_others = false; }},
     mechanism{"own_domain", "backend servers of the own failure domain first",
               [](all_settings& it) { it.balancer.other_domain_ms = 0; }},
-    mechanism{
-        "pace_test", "a new version is judged by its pace beside the old one's",
-        [](all_settings& it) { it.judge.least_paced = std::numeric_limits<std::uint64_t>::max(); }},
+    mechanism{"pace_test", "a new version is judged by its pace beside the old one's",
+              [](all_settings& it) {
+                  it.judge.min_paced_answers = std::numeric_limits<std::uint64_t>::max();
+              }},
     mechanism{"prefix_memory", "which engine has lately read a prompt's parts",
               [](all_settings& it) { it.balancer.prefix_memory = millis{0}; }},
     mechanism{"pressure", "larger models are asked less while first events are slow",
--- a/modules/gateway/src/rollout_judge.cpp
+++ b/modules/gateway/src/rollout_judge.cpp
@@ -94,8 +94,8 @@
     const auto found = rollout::judge({candidate.answers, candidate.bad},
                                       {incumbent.answers, incumbent.bad}, settings_.test);
     const double beside = settings_.least_paced_part * static_cast<double>(candidate.paced);
-    const bool comparable =
-        incumbent.paced >= settings_.least_paced && static_cast<double>(incumbent.paced) >= beside;
+    const bool comparable = incumbent.paced >= settings_.min_paced_answers &&
+                            static_cast<double>(incumbent.paced) >= beside;
     const auto pace = rollout::judge({candidate.paced, candidate.slow},
                                      {incumbent.paced, incumbent.slow}, settings_.pace_test);
     if (comparable && pace.verdict == rollout::test_verdict::bad) {
