--- a/modules/gateway/include/hickorypost/gateway/control_state.h
+++ b/modules/gateway/include/hickorypost/gateway/control_state.h
@@ -12,58 +12,62 @@
 
 enum class rollout_phase : std::uint8_t { running, completed, rolled_back };
 
-/// A roll-out: a service's traffic moves to a new version of its backend servers.
+/// State of a roll-out, which moves a service's traffic to a new version of its backend servers.
 struct rollout_status {
     std::string service;
-    std::string target;            ///< the new version
-    std::uint64_t duration_ms = 0; ///< within which a good version has all traffic
+    std::string target;            ///< the new version of the backend servers
+    std::uint64_t duration_ms = 0; ///< a good version has all traffic by its end
     rollout_phase phase = rollout_phase::running;
-    std::uint32_t share_permille = 0; ///< of the service's requests that go to the new version
-    std::uint64_t elapsed_ms = 0;     ///< since the order, as the leader last wrote it
-    std::string reason;               ///< of the last step
+    std::uint32_t share_permille = 0; ///< thousandths of the service's requests that go to `target`
+    std::uint64_t elapsed_ms = 0;     ///< since the roll-out began, as last written by the leader
+    std::string reason;               ///< why the leader took the last step
 };
 
-/// Which versions of a service serve, besides one on trial.
+/// The incumbent version of a service, and the versions that must get no requests.
 struct service_versions {
-    std::vector<std::string> returned; ///< targets of roll-outs that did not complete, oldest first
-    /// The version that was ready first, then that of the last completed roll-out. Empty: none yet.
+    /// Targets of roll-outs that were rolled back or replaced while running, oldest first.
+    std::vector<std::string> rolled_back_versions;
+    /// The target of the last completed roll-out; before that, the version recorded by
+    /// `set_incumbent`. Empty if neither exists.
     std::string incumbent;
 };
 
-/// What operators' orders have changed and was acknowledged: configuration, roll-outs, versions.
+/// Replicated state of a site: the operators' configuration, roll-outs and versions. The encoding
+/// goes by position, so the order of the fields must not change.
 struct site_state {
     std::uint64_t config_version = 0;
-    std::string config_packed;                        ///< byte for byte as it came, packed
+    std::string config_packed;                        ///< the operator's exact text, compressed
     std::map<std::string, rollout_status> rollouts;   ///< by service
-    std::uint64_t revision = 0;                       ///< rises with each change
+    std::uint64_t revision = 0;                       ///< incremented with each change
     std::map<std::string, service_versions> versions; ///< by service
 };
 
 enum class control_kind : std::uint8_t { put_config, begin_rollout, step_rollout, set_incumbent };
 
-/// The version that a service has before its first roll-out.
-struct first_version {
+/// The incumbent that a service has before its first roll-out.
+struct initial_version {
     std::string service;
     std::string version;
 };
 
-/// A command of the replicated log.
+/// An entry of the control log. Only the members that `kind` names are used.
 struct control_command {
     control_kind kind = control_kind::put_config;
     std::uint64_t config_version = 0;
     std::string config_packed;
     rollout_status rollout;
-    first_version incumbent;
+    initial_version incumbent;
 };
 
-/// Applies control commands. The highest configuration version wins, whatever the order of arrival:
-/// operators race each other with equal numbers, and old changes arrive late.
+/// State machine of the control log. The highest configuration version wins whatever the order of
+/// arrival, because operators may submit equal versions concurrently and old changes arrive late.
 class control_state final : public replog::state_machine {
 public:
-    /// The answer is always "ok": a change that came too late is acknowledged without effect.
+    /// Returns "ok", also for a change that came too late and has no effect, or "unreadable" if the
+    /// command cannot be decoded.
     std::string apply(const replog::entry& command) override;
-    /// `query`: an encoded `wire::site_query`. Gives the whole encoded `site_state`, or nothing if
-    /// the asker has it already; an unreadable query gets the state.
+    /// `query`: an encoded `wire::site_query`. Returns the encoded `site_state`, or an empty string
+    /// if the caller's revision is current. A query that cannot be decoded gets the state.
     [[nodiscard]] std::string read(std::string_view query) const override;
     [[nodiscard]] std::string save() const override;
     void load(std::string_view state) override;
@@ -72,10 +76,10 @@
 
 private:
     bool put_config(control_command& command);
-    bool begin_rollout(const rollout_status& order);
+    bool begin_rollout(const rollout_status& status);
     bool step_rollout(const rollout_status& step);
-    bool set_incumbent(const first_version& first);
-    void note_returned(const rollout_status& ended);
+    bool set_incumbent(const initial_version& initial);
+    void add_rolled_back(const rollout_status& rollout);
 
     site_state state_;
 };
--- a/modules/gateway/include/hickorypost/gateway/rollout_judge.h
+++ b/modules/gateway/include/hickorypost/gateway/rollout_judge.h
@@ -11,43 +11,52 @@
 
 namespace hickorypost::gateway {
 
+/// Schedule and statistical tests of a roll-out. Times in the schedule are fractions of the
+/// roll-out's duration.
 struct judge_settings {
-    /// Share of requests on trial: small enough that a version that turns bad late has met few.
+    /// Share of requests, in thousandths, that goes to the new version during the trial. Small, so
+    /// that few requests reach a version that starts to fail late.
     std::uint32_t trial_permille = 50;
-    /// After the order, the time until the trial. Processes have heard of the order by then, and
-    /// say which sessions they have seen.
+    /// Time between the roll-out command and the trial. All processes receive the command and
+    /// report sessions that use the old version within it.
     millis trial_delay{500};
-    /// Part of the time that the trial lasts. Sessions that began on the old version may not move
-    /// in the first half.
-    double trial_part = 0.5;
-    /// Shares after the trial, and the part of the time at which each begins. Some versions fail
-    /// only under load, so load grows in steps, each short enough for the bound on exposure.
+    /// Fraction of the duration at which the trial ends. Sessions that began on the old version
+    /// must not move in the first half.
+    double trial_end = 0.5;
+    /// Shares after the trial, and the fraction of the duration at which each begins. The load
+    /// grows in steps because some versions fail only under load; each step is short enough for
+    /// the bound on requests that a bad version may receive.
     std::uint32_t first_step_permille = 250;
-    double second_step_part = 0.58;
+    double second_step_start = 0.58;
     std::uint32_t second_step_permille = 500;
-    double whole_part = 0.66;
-    /// The part of the time at which a version that has had all traffic since `whole_part` is
-    /// completed: streams that began on the old one have ended by then.
-    double complete_part = 0.84;
-    /// Answers older than this are left out: a version that turns bad late, or under load, must not
-    /// be covered by the good answers from before.
+    double full_traffic_start = 0.66;
+    /// Fraction of the duration at which a version is completed. All traffic has gone to that
+    /// version since `full_traffic_start`, so streams that began on the old version have ended.
+    double completion = 0.84;
+    /// Older answers are ignored: earlier good answers must not hide a version that starts to fail
+    /// late or under load.
     millis evidence_window{4000};
-    /// Slowness by its pace: a quarter of the old version's answers count as slow, by chance some
-    /// more. Judged only while both versions answer, as load changes the pace of both: at least
-    /// this many of the old version's in the window.
+    /// Test of answers that are slow by their pace (see `rollout_view::record_pace`). By definition
+    /// about a quarter of the old version's answers are slow. Load changes the pace of both
+    /// versions, so the test applies only while the window holds at least `min_paced_answers`
+    /// answers of the old version.
     rollout::test_options pace_test{.max_worse = 0.3, .confidence = 0.995, .floor_ratio = 0.25};
     std::uint64_t min_paced_answers = 20;
-    /// Nor is it judged once the old version has less than this part of the new one's answers: its
-    /// stragglers have engines to themselves. Good versions that met twice the load on all traffic
-    /// were sent back for it (95 of 226 answers slow, old version 3 of 30).
-    double least_paced_part = 0.5;
+    /// Nor does the test apply once the old version has less than this fraction of the new
+    /// version's number of answers: its last streams then run on idle engines. Good versions under
+    /// twice the load were rolled back (95 of 226 answers slow, old version 3 of 30) because all
+    /// traffic had moved to them.
+    double min_incumbent_ratio = 0.5;
+    /// Test of bad answers: failures, and answers far slower than the old version's.
     rollout::test_options test{.max_worse = 0.2, .confidence = 0.995, .floor_ratio = 0.02};
 };
 
-/// The leader's part of roll-outs: gathers what all processes saw, and decides on shares, end or
-/// return. Its steps take effect only once they are committed. Sans I/O.
+/// Decides on the control log's leader when a roll-out gets a larger share, completes or is rolled
+/// back, from the reports of all processes. A decision takes effect once its command is committed.
+/// Performs no I/O itself.
 class rollout_judge {
 public:
+    /// Called with the proposed next status of a roll-out.
     using step_fn = std::function<void(const rollout_status&)>;
 
     rollout_judge(judge_settings settings, step_fn step)
@@ -55,30 +64,33 @@
     {
     }
 
-    /// Takes the committed state; roll-outs that are new here begin to be watched.
+    /// Takes the committed state and starts to track roll-outs that are new in it.
     void follow(const std::map<std::string, rollout_status>& rollouts, instant now);
+    /// Adds a process's report. Ignored unless the service has a running roll-out.
     void take(const rollout_view::report_row& row, instant now);
+    /// Decides on each running roll-out.
     void tick(instant now);
 
 private:
-    struct standing {
+    struct tracked_rollout {
         rollout_status status;
-        instant began; ///< by this process's clock, from when it first saw the order
-        std::deque<std::pair<instant, rollout_view::report_row>> rows; ///< the newest last
+        instant started; ///< by this process's clock, less the time elapsed before it knew of it
+        std::deque<std::pair<instant, rollout_view::report_row>> reports; ///< the newest last
     };
-    /// What the candidate and the incumbent did within the window.
+    /// Totals of both versions within the evidence window.
     struct comparison {
         version_tally candidate;
         version_tally incumbent;
     };
 
-    void decide(standing& it, instant now);
-    comparison compare(standing& it, instant now) const;
-    [[nodiscard]] std::uint32_t share_at(const rollout_status& status) const;
+    void decide(tracked_rollout& tracked, instant now);
+    comparison compare(tracked_rollout& tracked, instant now) const;
+    /// The share, in thousandths, that the schedule allows at this time.
+    [[nodiscard]] std::uint32_t scheduled_share(const rollout_status& status) const;
 
     judge_settings settings_;
     step_fn step_;
-    std::map<std::string, standing> standings_;
+    std::map<std::string, tracked_rollout> rollouts_; ///< by service
 };
 
 } // namespace hickorypost::gateway
--- a/modules/gateway/src/control_state.cpp
+++ b/modules/gateway/src/control_state.cpp
@@ -11,31 +11,31 @@
 
 namespace {
 
-/// Returned versions that are remembered for each service. Their backend servers leave within
-/// seconds.
-constexpr std::size_t max_returned = 16;
+/// Rolled-back versions that are kept for each service. Their backend servers leave within seconds,
+/// so older entries are no longer needed.
+constexpr std::size_t max_rolled_back = 16;
 
 } // namespace
 
 std::string control_state::apply(const replog::entry& command)
 {
-    auto it = wire::try_decode<control_command>(command.data);
-    if (!it) {
-        return "unreadable"; // written by a later release; equal on all hosts
+    auto decoded = wire::try_decode<control_command>(command.data);
+    if (!decoded) {
+        return "unreadable"; // written by a later release; all hosts skip the entry alike
     }
     bool changed = false;
-    switch (it->kind) {
+    switch (decoded->kind) {
     case control_kind::put_config:
-        changed = put_config(*it);
+        changed = put_config(*decoded);
         break;
     case control_kind::begin_rollout:
-        changed = begin_rollout(it->rollout);
+        changed = begin_rollout(decoded->rollout);
         break;
     case control_kind::step_rollout:
-        changed = step_rollout(it->rollout);
+        changed = step_rollout(decoded->rollout);
         break;
     case control_kind::set_incumbent:
-        changed = set_incumbent(it->incumbent);
+        changed = set_incumbent(decoded->incumbent);
         break;
     }
     if (changed) {
@@ -54,28 +54,28 @@
     return true;
 }
 
-bool control_state::begin_rollout(const rollout_status& order)
+bool control_state::begin_rollout(const rollout_status& status)
 {
-    const auto known = state_.rollouts.find(order.service);
-    // A retry of the same order, whose acknowledgement was lost.
-    if (known != state_.rollouts.end() && known->second.target == order.target) {
+    const auto known = state_.rollouts.find(status.service);
+    // A retry of a command whose acknowledgement was lost.
+    if (known != state_.rollouts.end() && known->second.target == status.target) {
         return false;
     }
     if (known != state_.rollouts.end() && known->second.phase == rollout_phase::running) {
-        note_returned(known->second);
+        add_rolled_back(known->second);
     }
-    std::erase(state_.versions[order.service].returned, order.target);
-    state_.rollouts[order.service] = order;
+    std::erase(state_.versions[status.service].rolled_back_versions, status.target);
+    state_.rollouts[status.service] = status;
     return true;
 }
 
-void control_state::note_returned(const rollout_status& ended)
+void control_state::add_rolled_back(const rollout_status& rollout)
 {
-    auto& returned = state_.versions[ended.service].returned;
-    std::erase(returned, ended.target);
-    returned.push_back(ended.target);
-    if (returned.size() > max_returned) {
-        returned.erase(returned.begin());
+    auto& rolled_back_versions = state_.versions[rollout.service].rolled_back_versions;
+    std::erase(rolled_back_versions, rollout.target);
+    rolled_back_versions.push_back(rollout.target);
+    if (rolled_back_versions.size() > max_rolled_back) {
+        rolled_back_versions.erase(rolled_back_versions.begin());
     }
 }
 
@@ -84,35 +84,37 @@
     const auto known = state_.rollouts.find(step.service);
     if (known == state_.rollouts.end() || known->second.target != step.target ||
         known->second.phase != rollout_phase::running) {
-        return false; // decided by a leader that did not know of a newer order or an end
+        return false; // decided by a leader that did not know of a newer roll-out or of the end
     }
     known->second = step;
     if (step.phase == rollout_phase::rolled_back) {
-        note_returned(step);
+        add_rolled_back(step);
     } else if (step.phase == rollout_phase::completed) {
         state_.versions[step.service].incumbent = step.target;
     }
     return true;
 }
 
-bool control_state::set_incumbent(const first_version& first)
+bool control_state::set_incumbent(const initial_version& initial)
 {
-    auto& it = state_.versions[first.service];
-    const auto known = state_.rollouts.find(first.service);
-    const bool is_target = known != state_.rollouts.end() && known->second.target == first.version;
-    const bool was_returned =
-        std::find(it.returned.begin(), it.returned.end(), first.version) != it.returned.end();
-    if (!it.incumbent.empty() || is_target || was_returned) {
-        return false; // another leader was first, or it was not known to be a new version
+    auto& versions = state_.versions[initial.service];
+    const auto known = state_.rollouts.find(initial.service);
+    const bool is_target =
+        known != state_.rollouts.end() && known->second.target == initial.version;
+    const bool was_rolled_back =
+        std::find(versions.rolled_back_versions.begin(), versions.rolled_back_versions.end(),
+                  initial.version) != versions.rolled_back_versions.end();
+    if (!versions.incumbent.empty() || is_target || was_rolled_back) {
+        return false; // another leader was faster, or did not know that the version is new
     }
-    it.incumbent = first.version;
+    versions.incumbent = initial.version;
     return true;
 }
 
 std::string control_state::read(std::string_view query) const
 {
-    const auto asked = wire::try_decode<wire::site_query>(query);
-    return asked && asked->have_revision >= state_.revision ? std::string{} : save();
+    const auto request = wire::try_decode<wire::site_query>(query);
+    return request && request->have_revision >= state_.revision ? std::string{} : save();
 }
 
 std::string control_state::save() const
@@ -123,13 +125,13 @@
 void control_state::load(std::string_view state)
 {
     state_ = wire::try_decode<site_state>(state).value_or(site_state{});
-    // Snapshots of earlier releases carry no versions.
+    // Snapshots of earlier releases have no `versions`: derive them from the roll-outs.
     for (const auto& [service, status] : state_.rollouts) {
         if (state_.versions.contains(service)) {
             continue;
         }
         if (status.phase == rollout_phase::rolled_back) {
-            note_returned(status);
+            add_rolled_back(status);
         } else if (status.phase == rollout_phase::completed) {
             state_.versions[service].incumbent = status.target;
         }
--- a/modules/gateway/src/rollout_judge.cpp
+++ b/modules/gateway/src/rollout_judge.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-/// Without a step that changes the share, the time is written this often, so that a new leader
-/// knows how far a roll-out is.
-constexpr std::uint64_t time_written_every_ms = 2000;
+/// The elapsed time is written to the control log at least this often, so that a new leader knows
+/// how far a roll-out has come.
+constexpr std::uint64_t progress_write_interval_ms = 2000;
 
-/// How much of its time a roll-out has had.
-double part_of(const rollout_status& status)
+/// The fraction of its duration that a roll-out has run.
+double progress_of(const rollout_status& status)
 {
     return static_cast<double>(status.elapsed_ms) /
            static_cast<double>(std::max<std::uint64_t>(1, status.duration_ms));
@@ -22,60 +22,62 @@
 void rollout_judge::follow(const std::map<std::string, rollout_status>& rollouts, instant now)
 {
     for (const auto& [service, status] : rollouts) {
-        auto& it = standings_[service];
-        if (it.status.target != status.target) {
-            it = {};
+        auto& tracked = rollouts_[service];
+        if (tracked.status.target != status.target) {
+            tracked = {};
         }
-        const auto known = millis{static_cast<std::int64_t>(status.elapsed_ms)};
-        const bool first = it.status.target.empty();
-        it.status = status;
-        // Whichever says more: what an earlier leader wrote, or what this process has watched.
-        it.began = first ? now - known : std::min(it.began, now - known);
+        const auto elapsed = millis{static_cast<std::int64_t>(status.elapsed_ms)};
+        const bool first = tracked.status.target.empty();
+        tracked.status = status;
+        // The earlier of two starts: by the time that a leader wrote, or by this process's clock.
+        tracked.started = first ? now - elapsed : std::min(tracked.started, now - elapsed);
     }
 }
 
 void rollout_judge::take(const rollout_view::report_row& row, instant now)
 {
-    const auto found = standings_.find(row.service);
-    if (found == standings_.end() || found->second.status.phase != rollout_phase::running) {
+    const auto found = rollouts_.find(row.service);
+    if (found == rollouts_.end() || found->second.status.phase != rollout_phase::running) {
         return;
     }
-    found->second.rows.emplace_back(now, row);
+    found->second.reports.emplace_back(now, row);
 }
 
 void rollout_judge::tick(instant now)
 {
-    for (auto& [service, it] : standings_) {
-        if (it.status.phase == rollout_phase::running) {
-            decide(it, now);
+    for (auto& [service, tracked] : rollouts_) {
+        if (tracked.status.phase == rollout_phase::running) {
+            decide(tracked, now);
         }
     }
 }
 
-std::uint32_t rollout_judge::share_at(const rollout_status& status) const
+std::uint32_t rollout_judge::scheduled_share(const rollout_status& status) const
 {
     if (status.elapsed_ms < static_cast<std::uint64_t>(settings_.trial_delay.count())) {
         return 0;
     }
-    const double part = part_of(status);
-    constexpr std::uint32_t whole = 1000;
-    if (part >= settings_.whole_part) {
-        return whole;
+    const double progress = progress_of(status);
+    constexpr std::uint32_t all_permille = 1000;
+    if (progress >= settings_.full_traffic_start) {
+        return all_permille;
     }
-    if (part >= settings_.second_step_part) {
+    if (progress >= settings_.second_step_start) {
         return settings_.second_step_permille;
     }
-    return part >= settings_.trial_part ? settings_.first_step_permille : settings_.trial_permille;
+    return progress >= settings_.trial_end ? settings_.first_step_permille
+                                           : settings_.trial_permille;
 }
 
-rollout_judge::comparison rollout_judge::compare(standing& it, instant now) const
+rollout_judge::comparison rollout_judge::compare(tracked_rollout& tracked, instant now) const
 {
-    while (!it.rows.empty() && it.rows.front().first + settings_.evidence_window < now) {
-        it.rows.pop_front();
+    while (!tracked.reports.empty() &&
+           tracked.reports.front().first + settings_.evidence_window < now) {
+        tracked.reports.pop_front();
     }
     comparison out;
-    for (const auto& [taken, row] : it.rows) {
-        auto& side = row.version == it.status.target ? out.candidate : out.incumbent;
+    for (const auto& [received, row] : tracked.reports) {
+        auto& side = row.version == tracked.status.target ? out.candidate : out.incumbent;
         side.answers += row.seen.answers;
         side.bad += row.seen.bad;
         side.paced += row.seen.paced;
@@ -84,43 +86,44 @@
     return out;
 }
 
-void rollout_judge::decide(standing& it, instant now)
+void rollout_judge::decide(tracked_rollout& tracked, instant now)
 {
-    rollout_status next = it.status;
-    const auto elapsed = std::max<std::int64_t>(0, to_millis(now - it.began));
+    rollout_status next = tracked.status;
+    const auto elapsed = std::max<std::int64_t>(0, to_millis(now - tracked.started));
     next.elapsed_ms = static_cast<std::uint64_t>(elapsed);
-    const double part = part_of(next);
-    const auto [candidate, incumbent] = compare(it, now);
-    const auto found = rollout::judge({candidate.answers, candidate.bad},
-                                      {incumbent.answers, incumbent.bad}, settings_.test);
-    const double beside = settings_.least_paced_part * static_cast<double>(candidate.paced);
+    const double progress = progress_of(next);
+    const auto [candidate, incumbent] = compare(tracked, now);
+    const auto error_result = rollout::judge({candidate.answers, candidate.bad},
+                                             {incumbent.answers, incumbent.bad}, settings_.test);
+    const double min_incumbent_paced =
+        settings_.min_incumbent_ratio * static_cast<double>(candidate.paced);
     const bool comparable = incumbent.paced >= settings_.min_paced_answers &&
-                            static_cast<double>(incumbent.paced) >= beside;
-    const auto pace = rollout::judge({candidate.paced, candidate.slow},
-                                     {incumbent.paced, incumbent.slow}, settings_.pace_test);
-    if (comparable && pace.verdict == rollout::test_verdict::bad) {
+                            static_cast<double>(incumbent.paced) >= min_incumbent_paced;
+    const auto pace_result = rollout::judge({candidate.paced, candidate.slow},
+                                            {incumbent.paced, incumbent.slow}, settings_.pace_test);
+    if (comparable && pace_result.verdict == rollout::test_verdict::bad) {
         next.phase = rollout_phase::rolled_back;
         next.share_permille = 0;
         next.reason = std::to_string(candidate.slow) + " of " + std::to_string(candidate.paced) +
                       " answers slow, old version " + std::to_string(incumbent.slow) + " of " +
                       std::to_string(incumbent.paced);
-    } else if (found.verdict == rollout::test_verdict::bad) {
+    } else if (error_result.verdict == rollout::test_verdict::bad) {
         next.phase = rollout_phase::rolled_back;
         next.share_permille = 0;
         next.reason = std::to_string(candidate.bad) + " of " + std::to_string(candidate.answers) +
                       " answers bad, old version " + std::to_string(incumbent.bad) + " of " +
                       std::to_string(incumbent.answers);
-    } else if (part >= settings_.complete_part && found.towards_bad <= 0) {
+    } else if (progress >= settings_.completion && error_result.towards_bad <= 0) {
         next.phase = rollout_phase::completed;
         next.reason = std::to_string(candidate.answers) + " answers, " +
                       std::to_string(candidate.bad) + " bad";
-    } else if (found.towards_bad <= 0) {
-        // Evidence that leans towards bad holds the share where it is until it is clear.
-        next.share_permille = std::max(next.share_permille, share_at(next));
+    } else if (error_result.towards_bad <= 0) {
+        // While the evidence leans towards bad, the share does not grow.
+        next.share_permille = std::max(next.share_permille, scheduled_share(next));
     }
-    const bool changed = next.phase != it.status.phase ||
-                         next.share_permille != it.status.share_permille ||
-                         next.elapsed_ms > it.status.elapsed_ms + time_written_every_ms;
+    const bool changed = next.phase != tracked.status.phase ||
+                         next.share_permille != tracked.status.share_permille ||
+                         next.elapsed_ms > tracked.status.elapsed_ms + progress_write_interval_ms;
     if (changed) {
         step_(next);
     }
--- a/modules/gateway/tests/parts_test.cpp
+++ b/modules/gateway/tests/parts_test.cpp
@@ -45,7 +45,7 @@
 
 BOOST_AUTO_TEST_SUITE(gateway_parts)
 
-BOOST_AUTO_TEST_CASE(the_longest_prefix_of_the_host_is_the_route)
+BOOST_AUTO_TEST_CASE(longest_matching_prefix_of_the_host_is_chosen)
 {
     site_config config;
     const auto add = [&](const std::string& host, const std::string& prefix) {
@@ -67,9 +67,9 @@
     BOOST_TEST(table.find_route("c", "/x/") == nullptr);
 }
 
-// A backend server crashes, and another incarnation registers at its address. A heartbeat of the
-// dead one that was held up arrives afterwards: it must not take the address back.
-BOOST_AUTO_TEST_CASE(a_late_heartbeat_of_a_dead_incarnation_takes_nothing_back)
+// Guards against a delayed heartbeat of a crashed incarnation that replaces the incarnation now
+// registered at the same address.
+BOOST_AUTO_TEST_CASE(late_heartbeat_of_a_dead_incarnation_is_ignored)
 {
     backend_directory it{{}};
     it.take(record("old", "h:1", 4), start);
@@ -78,8 +78,9 @@
     BOOST_TEST(ids_of(it.usable("app", start + millis{300})) == std::vector<std::string>{"new"});
 }
 
-// The one that was replaced goes on with its heartbeats: it lives, and the other does not.
-BOOST_AUTO_TEST_CASE(an_incarnation_that_goes_on_with_heartbeats_is_the_living_one)
+// Guards against keeping the wrong one of two incarnations at an address: the one that continues to
+// send heartbeats is alive.
+BOOST_AUTO_TEST_CASE(incarnation_that_continues_its_heartbeats_is_used)
 {
     backend_directory it{{}};
     it.take(record("old", "h:1", 4), start);
@@ -89,7 +90,7 @@
     BOOST_TEST(ids_of(it.usable("app", start + millis{1400})) == std::vector<std::string>{"old"});
 }
 
-BOOST_AUTO_TEST_CASE(one_that_drains_or_has_left_does_not_come_back)
+BOOST_AUTO_TEST_CASE(draining_or_removed_backend_is_not_used_again)
 {
     backend_directory it{{}};
     auto draining = record("a", "h:1", 5);
@@ -103,9 +104,9 @@
     BOOST_TEST(it.usable("app", start).empty());
 }
 
-// Heartbeats reach nobody for a while, as when the control hosts are down. All backend servers are
-// silent then, and must still be used.
-BOOST_AUTO_TEST_CASE(silent_ones_are_used_when_there_are_no_others)
+// Guards against an outage when no heartbeats arrive, for example because the control hosts are
+// down: backend servers without recent heartbeats are used if there are no others.
+BOOST_AUTO_TEST_CASE(silent_backends_are_used_when_there_are_no_others)
 {
     backend_directory it{{}};
     it.take(record("a", "h:1", 1), start);
@@ -116,29 +117,29 @@
     BOOST_TEST(ids_of(it.usable("app", later)) == std::vector<std::string>{"b"});
 }
 
-// Half the backend servers fail at once, and every request asks to be repeated. The repeats of all
-// processes together stay within the ratio and the slack.
-BOOST_AUTO_TEST_CASE(repeats_stay_within_the_shared_allowance)
+// Guards against a retry storm. Half of the backend servers fail at once and every request is
+// retried; the retries of all processes together stay within the ratio and the slack.
+BOOST_AUTO_TEST_CASE(retries_stay_within_the_shared_budget)
 {
     constexpr std::size_t processes = 4;
     const retry_window_settings settings{
         .window = millis{10'000}, .ratio = 0.5, .slack = 40, .used_part = 0.8};
     std::size_t requests = 0;
-    std::size_t repeats = 0;
+    std::size_t retries = 0;
     std::vector<retry_window> windows(processes, retry_window{settings});
     for (int step = 0; step < 900; ++step) {
         auto& it = windows[static_cast<std::size_t>(step) % processes];
         const instant now = start + millis{step * 10};
         it.request(now);
         ++requests;
-        repeats += it.try_repeat(processes, now) ? 1U : 0U;
-        repeats += it.try_repeat(processes, now) ? 1U : 0U;
+        retries += it.try_repeat(processes, now) ? 1U : 0U;
+        retries += it.try_repeat(processes, now) ? 1U : 0U;
     }
-    BOOST_TEST(repeats <= settings.ratio * static_cast<double>(requests) + settings.slack);
-    BOOST_TEST(repeats > 0.6 * settings.ratio * static_cast<double>(requests));
+    BOOST_TEST(retries <= settings.ratio * static_cast<double>(requests) + settings.slack);
+    BOOST_TEST(retries > 0.6 * settings.ratio * static_cast<double>(requests));
 }
 
-BOOST_AUTO_TEST_CASE(only_whole_events_pass_whatever_the_cuts)
+BOOST_AUTO_TEST_CASE(only_whole_events_pass_however_the_stream_is_split)
 {
     const std::string text = "id: 0\ndata: a\n\nid: 1\ndata: b\n\nid: 2\r\ndata: c\r\n\r\n";
     for (std::size_t cut = 1; cut < text.size(); ++cut) {
@@ -151,9 +152,9 @@
     }
 }
 
-// Equal numbers race, old changes come late: the highest version stays, byte for byte, also through
-// a snapshot, and its revision only rises.
-BOOST_AUTO_TEST_CASE(the_highest_configuration_wins_whatever_the_order)
+// Guards against overwriting a configuration by a concurrent change of equal version or by a late
+// change of a lower one. The text survives a snapshot byte for byte, and the revision only rises.
+BOOST_AUTO_TEST_CASE(highest_configuration_version_wins_in_any_order)
 {
     control_state it;
     put(it, 5, "five");
@@ -170,7 +171,7 @@
     BOOST_TEST(loaded.state().config_version == 9U);
 }
 
-BOOST_AUTO_TEST_CASE(steps_of_a_rollout_that_is_over_change_nothing)
+BOOST_AUTO_TEST_CASE(steps_of_a_finished_rollout_are_ignored)
 {
     control_state it;
     const auto apply = [&](control_kind kind, const rollout_status& status) {
@@ -190,8 +191,9 @@
     BOOST_TEST((it.state().rollouts.at("app").phase == rollout_phase::rolled_back));
 }
 
-// All processes see the same late report. Their choices must spread rather than fall on one.
-BOOST_AUTO_TEST_CASE(equal_backend_servers_are_chosen_about_equally)
+// Guards against a herd: processes that hold the same outdated load report must not all choose the
+// same backend server.
+BOOST_AUTO_TEST_CASE(equal_backends_are_chosen_about_equally)
 {
     backend_directory directory{{}};
     for (int n = 0; n < 6; ++n) {
@@ -208,9 +210,9 @@
     }
 }
 
-// On-call engineers must see from one host's log that it has lost sight of a backend server that
-// others still hear of, and when that ended.
-BOOST_AUTO_TEST_CASE(silence_of_a_backend_server_is_told_when_it_begins_and_ends)
+// Guards against a silence that the host's log doesn't show: on-call engineers must see when this
+// host stopped receiving a backend server's heartbeats, and when they resumed.
+BOOST_AUTO_TEST_CASE(silence_of_a_backend_is_reported_at_its_begin_and_end)
 {
     backend_directory it{{}};
     it.take(record("b", "h:1", 1), start);
@@ -226,9 +228,10 @@
     BOOST_TEST(!found.front().silent);
 }
 
-// One backend server refuses connections, another fails half of its requests. Work leaves both
-// after the first signs, and the first is tried again later.
-BOOST_AUTO_TEST_CASE(bad_backend_servers_are_left_early_and_tried_again)
+// Guards against sending work to failing backend servers. One refuses connections and another fails
+// half of its requests: both lose traffic after a few failures, and the first is probed again
+// later.
+BOOST_AUTO_TEST_CASE(failing_backends_lose_traffic_early_and_are_probed_again)
 {
     backend_directory directory{{}};
     for (const auto* id : {"dead", "grey", "good"}) {
@@ -257,9 +260,10 @@
     BOOST_TEST(chosen["grey"] < 120);
 }
 
-// Prompts that share their beginning arrive at processes that know nothing of each other. They meet
-// on one engine, unless that one is far busier than the rest.
-BOOST_AUTO_TEST_CASE(prompts_with_shared_parts_meet_on_one_engine)
+// Guards against spreading prompts with a common prefix over engines, which would lose prefix-cache
+// hits. Processes that share no state choose the same engine, unless that engine is far busier than
+// the others.
+BOOST_AUTO_TEST_CASE(prompts_with_a_common_prefix_go_to_one_engine)
 {
     backend_directory directory{{}};
     for (int n = 0; n < 8; ++n) {
@@ -284,11 +288,12 @@
 
 namespace {
 
-/// A roll-out driven in virtual time: each step a few answers of both versions.
-struct rollout_day {
+/// Runs the judge in virtual time: 80 steps of 250 ms, each with 40 answers divided between both
+/// versions by the current share.
+struct simulated_rollout {
     rollout_status status{"app", "v2", 20'000, rollout_phase::running, 0, 0, {}};
-    std::uint64_t exposed = 0;
-    std::uint64_t new_slow = 25; ///< of 100 answers, slower than the old version's quartile
+    std::uint64_t exposed = 0;   ///< answers of the new version
+    std::uint64_t new_slow = 25; ///< of 100 answers, above the old version's upper quartile
     rollout_judge judge{{}, [this](const rollout_status& it) { status = it; }};
 
     void run(const std::function<bool(double part, std::uint64_t n)>& new_is_bad)
@@ -317,35 +322,33 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(a_good_rollout_is_completed_in_time)
+BOOST_AUTO_TEST_CASE(good_rollout_completes_in_time)
 {
-    rollout_day it;
+    simulated_rollout it;
     it.run([](double, std::uint64_t) { return false; });
     BOOST_TEST((it.status.phase == rollout_phase::completed));
     BOOST_TEST(it.status.elapsed_ms < it.status.duration_ms);
 }
 
-// A new version takes four times as long as the old one, and each answer is still quick enough to
-// pass for a good one under load. Its pace beside the old version's tells within a few answers; one
-// that is a little slower by chance is completed.
-BOOST_AUTO_TEST_CASE(a_slow_version_is_sent_back_by_its_pace)
+// Guards against missing a version four times as slow as the old one whose answers still stay below
+// the limit for bad ones, and against rolling back a version that is slightly slower by chance.
+BOOST_AUTO_TEST_CASE(slow_version_is_rolled_back_by_its_pace)
 {
-    rollout_day slow;
+    simulated_rollout slow;
     slow.new_slow = 95;
     slow.run([](double, std::uint64_t) { return false; });
     BOOST_TEST((slow.status.phase == rollout_phase::rolled_back));
     BOOST_TEST(slow.exposed < 50U);
-    rollout_day fair;
+    simulated_rollout fair;
     fair.new_slow = 35;
     fair.run([](double, std::uint64_t) { return false; });
     BOOST_TEST((fair.status.phase == rollout_phase::completed));
 }
 
-// The new version has all traffic on as many engines as the old one had half of it on, and keeps a
-// slower pace there: 42 of 100 answers are slower than three quarters of the old version's. The few
-// streams that still end on the old one have its idle engines to themselves. Set beside those the
-// good version was sent back in its last seconds.
-BOOST_AUTO_TEST_CASE(the_pace_of_a_version_with_all_traffic_is_not_set_beside_that_of_stragglers)
+// Guards against rolling back a good version in its last seconds. The new version has all traffic,
+// on as many engines as served half of it before, so 42 of 100 of its answers are above the old
+// version's upper quartile. The old version's last streams run fast on idle engines.
+BOOST_AUTO_TEST_CASE(pace_is_not_compared_with_the_last_streams_of_the_old_version)
 {
     rollout_status status{"app", "v2", 20'000, rollout_phase::running, 1000, 14'000, {}};
     rollout_judge judge{{}, [&](const rollout_status& it) { status = it; }};
@@ -361,9 +364,9 @@
     BOOST_TEST(status.reason == "");
 }
 
-// A version that fails from the start, late, or only under load: each is sent back, with at most 15
-// in 100 of all requests on it.
-BOOST_AUTO_TEST_CASE(bad_versions_are_sent_back_with_bounded_exposure)
+// Guards against missing a version that fails from the start, late, or only under load, and against
+// sending more than 15 in 100 of all requests to such a version.
+BOOST_AUTO_TEST_CASE(bad_versions_are_rolled_back_with_bounded_exposure)
 {
     const auto from_start = [](double, std::uint64_t n) { return n % 2 == 0; };
     const auto late = [](double part, std::uint64_t n) { return part > 0.3 && n % 2 == 0; };
@@ -371,16 +374,16 @@
     for (const auto& bad : {std::function<bool(double, std::uint64_t)>{from_start},
                             std::function<bool(double, std::uint64_t)>{late},
                             std::function<bool(double, std::uint64_t)>{loaded}}) {
-        rollout_day it;
+        simulated_rollout it;
         it.run(bad);
         BOOST_TEST((it.status.phase == rollout_phase::rolled_back));
         BOOST_TEST(it.exposed < 80U * 40U * 15U / 100U);
     }
 }
 
-// Two processes know the same roll-out. A session that one has seen on the old version comes to the
-// other during the trial, and must stay there.
-BOOST_AUTO_TEST_CASE(a_session_keeps_its_version_on_every_process)
+// Guards against moving a session when its next request reaches another process during the trial:
+// the session must stay on the old version.
+BOOST_AUTO_TEST_CASE(session_keeps_its_version_on_every_process)
 {
     backend_directory directory{{}};
     directory.take(record("o", "h:1", 1, "v1"), start);
@@ -410,10 +413,10 @@
     BOOST_TEST(moved > 60U);
 }
 
-// A good new version gets its share of long prompts and large models, whose first events take ten
-// times as long as the mean of the route. Compared with that mean it looked slow and was sent back;
-// compared with what the old version takes for the like, only one that really is slower does.
-BOOST_AUTO_TEST_CASE(a_new_version_is_compared_with_what_the_old_one_takes_for_the_like)
+// Guards against rolling back a good version because it got long prompts and large models, whose
+// first events take ten times as long as the mean of the route. Response times are compared with
+// the old version's for the same model and prefill time, not with that mean.
+BOOST_AUTO_TEST_CASE(response_times_are_compared_for_the_same_model_and_prefill_time)
 {
     rollout_view view{seeded_random_fn(1), millis{10'000}};
     view.follow({{"llm", {"llm", "v2", 20'000, rollout_phase::running, 300, 600, {}}}}, start);
@@ -439,10 +442,10 @@
     BOOST_TEST(bad_of("v2") == 40U);
 }
 
-// Both versions answer lookups within two milliseconds; the new one, on a colder host, takes a
-// third of a millisecond longer each time. No caller notices, and the good version was sent back
-// for it. One that takes four times as long is slow.
-BOOST_AUTO_TEST_CASE(a_difference_of_pace_that_nobody_notices_is_none)
+// Guards against rolling back a good version that takes a third of a millisecond longer, on a host
+// with cold caches, for answers of under two milliseconds. No caller notices this difference. A
+// version that takes four times as long counts as slow.
+BOOST_AUTO_TEST_CASE(unnoticeable_difference_of_pace_does_not_count_as_slow)
 {
     rollout_view view{seeded_random_fn(1), millis{10'000}};
     view.follow({{"app", {"app", "v2", 20'000, rollout_phase::running, 300, 600, {}}}}, start);
--- a/modules/gateway/tests/rollout_view_test.cpp
+++ b/modules/gateway/tests/rollout_view_test.cpp
@@ -12,8 +12,8 @@
 
 const instant start{millis{100'000}};
 
-/// One host, the backend servers that it knows and the control log that it follows.
-struct one_host {
+/// A gateway host with its backend directory and its copy of the control log's state.
+struct test_host {
     control_state control;
     backend_directory directory{{}};
     rollout_view view{seeded_random_fn(1), millis{10'000}};
@@ -43,7 +43,7 @@
         command.incumbent = {service, version};
         apply(command);
     }
-    void order(const std::string& target, const std::string& service = "llm")
+    void begin_rollout(const std::string& target, const std::string& service = "llm")
     {
         control_command command;
         command.kind = control_kind::begin_rollout;
@@ -58,21 +58,21 @@
         command.rollout = {service, target, 20'000, phase, share_permille, elapsed_ms, {}};
         apply(command);
     }
-    /// Takes the state of another host and what that has to tell.
-    void pin_and_follow(one_host& other)
+    /// Takes the committed state and the newly pinned sessions of another host.
+    void sync_from(test_host& other)
     {
         follow(other.control.state());
         view.pin(other.view.take_pinned(now), now);
     }
-    /// The version that a request goes to; empty: none.
+    /// The version that a request of this session goes to; empty if no backend server may get it.
     std::string version_for(const std::string& session, const std::string& service = "llm")
     {
         auto candidates = directory.usable(service, now);
         view.choose_version(service, session, candidates, now);
         return candidates.empty() ? std::string{} : candidates.front()->record.version;
     }
-    /// Requests of 400 sessions that go to this version.
-    std::size_t count_to(const std::string& version, const std::string& prefix)
+    /// Sends one request for each of 400 sessions and counts those that go to this version.
+    std::size_t count_sessions_on(const std::string& version, const std::string& prefix)
     {
         std::size_t out = 0;
         for (int n = 0; n < 400; ++n) {
@@ -86,78 +86,78 @@
 
 BOOST_AUTO_TEST_SUITE(rollout_view_suite)
 
-// Guards against sending requests to a returned version once the next roll-out is ordered.
-BOOST_AUTO_TEST_CASE(returned_version_gets_no_request_while_the_next_one_is_rolled_out)
+// Guards against sending requests to a rolled-back version once the next roll-out begins.
+BOOST_AUTO_TEST_CASE(rolled_back_version_gets_no_request_during_the_next_rollout)
 {
-    one_host it;
+    test_host it;
     it.register_backend("b-old", "v1");
     it.register_backend("a-bad", "v2");
-    it.order("v2");
+    it.begin_rollout("v2");
     it.step("v2", rollout_phase::rolled_back, 0, 3000);
     it.register_backend("c-new", "v3");
-    it.order("v3");
-    BOOST_TEST(it.count_to("v2", "ordered") == 0U);
+    it.begin_rollout("v3");
+    BOOST_TEST(it.count_sessions_on("v2", "ordered") == 0U);
     it.step("v3", rollout_phase::running, 300, 600);
     it.now += millis{2000};
-    BOOST_TEST(it.count_to("v2", "trial") == 0U);
-    BOOST_TEST(it.count_to("v3", "trial") > 60U);
-    // Neither where nobody else serves.
+    BOOST_TEST(it.count_sessions_on("v2", "trial") == 0U);
+    BOOST_TEST(it.count_sessions_on("v3", "trial") > 60U);
+    // Not even if no other version is left.
     it.directory.remove("b-old", it.now);
     it.directory.remove("c-new", it.now);
     BOOST_TEST(it.version_for("last") == "");
 }
 
-// Guards against a version that an order has overtaken during its trial.
-BOOST_AUTO_TEST_CASE(version_overtaken_by_another_order_gets_no_request)
+// Guards against sending requests to a version whose trial was replaced by another roll-out.
+BOOST_AUTO_TEST_CASE(version_replaced_by_another_rollout_gets_no_request)
 {
-    one_host it;
+    test_host it;
     it.register_backend("b-old", "v1");
     it.register_backend("a-overtaken", "v2");
-    it.order("v2");
+    it.begin_rollout("v2");
     it.step("v2", rollout_phase::running, 500, 12'000);
-    it.order("v3");
+    it.begin_rollout("v3");
     it.now += millis{2000};
-    BOOST_TEST(it.count_to("v2", "s") == 0U);
+    BOOST_TEST(it.count_sessions_on("v2", "s") == 0U);
 }
 
-// Guards against a host that has just started and did not see the version being returned.
-BOOST_AUTO_TEST_CASE(returned_version_is_known_from_the_control_log_alone)
+// Guards against a restarted host that uses a version rolled back before it started.
+BOOST_AUTO_TEST_CASE(rolled_back_version_is_known_from_the_control_log_alone)
 {
-    one_host there;
-    there.order("v2");
-    there.step("v2", rollout_phase::rolled_back, 0, 3000);
-    there.order("v3");
+    test_host other_host;
+    other_host.begin_rollout("v2");
+    other_host.step("v2", rollout_phase::rolled_back, 0, 3000);
+    other_host.begin_rollout("v3");
     control_state restored;
-    restored.load(there.control.save());
-    one_host it;
+    restored.load(other_host.control.save());
+    test_host it;
     it.register_backend("b-old", "v1");
     it.register_backend("a-bad", "v2");
     it.follow(restored.state());
-    BOOST_TEST(it.count_to("v2", "s") == 0U);
+    BOOST_TEST(it.count_sessions_on("v2", "s") == 0U);
 }
 
-// Guards against a version that stays out after it has been ordered again.
-BOOST_AUTO_TEST_CASE(returned_version_can_be_ordered_again)
+// Guards against excluding a rolled-back version after a second roll-out of it has completed.
+BOOST_AUTO_TEST_CASE(rolled_back_version_can_be_rolled_out_again)
 {
-    one_host it;
+    test_host it;
     it.register_backend("b-old", "v1");
     it.register_backend("a-again", "v2");
-    it.order("v2");
+    it.begin_rollout("v2");
     it.step("v2", rollout_phase::rolled_back, 0, 3000);
-    it.order("v3");
+    it.begin_rollout("v3");
     it.step("v3", rollout_phase::rolled_back, 0, 3000);
-    it.order("v2");
+    it.begin_rollout("v2");
     it.step("v2", rollout_phase::completed, 1000, 18'000);
     BOOST_TEST(it.version_for("s") == "v2");
 }
 
-// Guards against comparing a new version with one that was returned.
-BOOST_AUTO_TEST_CASE(answers_of_a_returned_version_count_for_neither_side)
+// Guards against comparing a new version with one that was rolled back.
+BOOST_AUTO_TEST_CASE(answers_of_a_rolled_back_version_are_not_counted)
 {
-    one_host it;
-    it.order("v2");
+    test_host it;
+    it.begin_rollout("v2");
     it.step("v2", rollout_phase::rolled_back, 0, 3000);
-    it.order("v3");
+    it.begin_rollout("v3");
     const auto answer = [&](const std::string& version, millis took) {
         it.view.saw({"llm", "r", "m", version, false, took, 20});
         it.view.record_pace("llm", "r", version, took);
@@ -175,48 +175,49 @@
     }
 }
 
-// Guards against a host that joins during a trial and takes the new version for the old one.
+// Guards against a host that joins during a trial and treats the new version as the incumbent.
 BOOST_AUTO_TEST_CASE(host_that_joins_in_a_trial_knows_the_incumbent)
 {
-    one_host there;
-    there.set_incumbent("v1");
-    there.order("v2");
-    there.step("v2", rollout_phase::rolled_back, 0, 3000);
-    there.order("v3");
-    there.step("v3", rollout_phase::running, 0, 400);
-    one_host it;
-    // The first that it is notified of are those of the new version, and of one not ordered yet.
+    test_host other_host;
+    other_host.set_incumbent("v1");
+    other_host.begin_rollout("v2");
+    other_host.step("v2", rollout_phase::rolled_back, 0, 3000);
+    other_host.begin_rollout("v3");
+    other_host.step("v3", rollout_phase::running, 0, 400);
+    test_host it;
+    // Backend servers of the new version, and of one without a roll-out, register before the
+    // others.
     it.register_backend("a-next", "v4");
     it.register_backend("b-new", "v3");
     it.register_backend("c-old", "v1");
-    it.follow(there.control.state());
-    BOOST_TEST(it.count_to("v1", "s") == 400U);
-    there.step("v3", rollout_phase::rolled_back, 0, 3000);
-    it.follow(there.control.state());
-    BOOST_TEST(it.count_to("v1", "s") == 400U);
+    it.follow(other_host.control.state());
+    BOOST_TEST(it.count_sessions_on("v1", "s") == 400U);
+    other_host.step("v3", rollout_phase::rolled_back, 0, 3000);
+    it.follow(other_host.control.state());
+    BOOST_TEST(it.count_sessions_on("v1", "s") == 400U);
 }
 
-// Guards against a host that goes on with the old version once a new one has all traffic.
+// Guards against a host that keeps using the old version after a roll-out has completed.
 BOOST_AUTO_TEST_CASE(completed_rollout_changes_the_incumbent)
 {
-    one_host it;
+    test_host it;
     it.set_incumbent("v1");
     it.register_backend("a-old", "v1");
     it.register_backend("b-new", "v2");
-    it.order("v2");
+    it.begin_rollout("v2");
     it.step("v2", rollout_phase::completed, 1000, 18'000);
     it.register_backend("c-next", "v3");
-    it.order("v3");
-    BOOST_TEST(it.count_to("v2", "s") == 400U);
+    it.begin_rollout("v3");
+    BOOST_TEST(it.count_sessions_on("v2", "s") == 400U);
     it.step("v3", rollout_phase::rolled_back, 0, 3000);
-    BOOST_TEST(it.count_to("v2", "s") == 400U);
+    BOOST_TEST(it.count_sessions_on("v2", "s") == 400U);
 }
 
-// Guards against leaders that name different incumbents.
-BOOST_AUTO_TEST_CASE(incumbent_is_named_once)
+// Guards against a second leader that overwrites the incumbent recorded by the first.
+BOOST_AUTO_TEST_CASE(incumbent_is_recorded_once)
 {
-    one_host it;
-    it.order("v2");
+    test_host it;
+    it.begin_rollout("v2");
     it.set_incumbent("v2");
     BOOST_TEST(it.control.state().versions.at("llm").incumbent == "");
     it.set_incumbent("v1");
@@ -225,13 +226,13 @@
     BOOST_TEST(it.view.find_incumbent("llm", it.directory.usable("llm", it.now)) == "");
 }
 
-// Guards against naming a version on trial, or one that was returned, as the incumbent.
-BOOST_AUTO_TEST_CASE(incumbent_is_the_version_of_most_backends_but_new_ones)
+// Guards against choosing a version on trial, or one that was rolled back, as the incumbent.
+BOOST_AUTO_TEST_CASE(incumbent_is_the_version_of_most_backends_except_withheld_ones)
 {
-    one_host it;
-    it.order("v2");
+    test_host it;
+    it.begin_rollout("v2");
     it.step("v2", rollout_phase::rolled_back, 0, 3000);
-    it.order("v3");
+    it.begin_rollout("v3");
     it.register_backend("a-new1", "v3");
     it.register_backend("a-new2", "v3");
     it.register_backend("b-returned", "v2");
@@ -244,26 +245,26 @@
     BOOST_TEST(it.view.find_incumbent("other", it.directory.usable("llm", it.now)) == "v3");
 }
 
-// Guards against a snapshot of an earlier release, which names no incumbent.
-BOOST_AUTO_TEST_CASE(snapshot_without_versions_is_completed)
+// Guards against losing versions when loading a snapshot of an earlier release, which has none.
+BOOST_AUTO_TEST_CASE(versions_are_derived_from_a_snapshot_without_them)
 {
-    one_host it;
-    it.order("v2");
+    test_host it;
+    it.begin_rollout("v2");
     it.step("v2", rollout_phase::completed, 1000, 18'000);
-    it.order("v5", "app");
+    it.begin_rollout("v5", "app");
     it.step("v5", rollout_phase::rolled_back, 0, 3000, "app");
     site_state old = it.control.state();
     old.versions.clear();
     control_state restored;
     restored.load(wire::encode(old));
     BOOST_TEST(restored.state().versions.at("llm").incumbent == "v2");
-    BOOST_TEST(restored.state().versions.at("app").returned.front() == "v5");
+    BOOST_TEST(restored.state().versions.at("app").rolled_back_versions.front() == "v5");
 }
 
 namespace {
 
 /// A host whose sessions s0 to s399 ran on the old versions of two services.
-struct busy_host : one_host {
+struct busy_host : test_host {
     busy_host()
     {
         for (const auto* const service : {"llm", "app"}) {
@@ -273,14 +274,14 @@
                 version_for("s" + std::to_string(n), service);
             }
             register_backend(std::string{"b-new-"} + service, "v2", service);
-            order("v2", service);
+            begin_rollout("v2", service);
         }
     }
 };
 
-/// A host that has started in the middle of a trial.
-struct late_host : one_host {
-    explicit late_host(const one_host& other)
+/// A host that has started during a trial and has seen no sessions.
+struct late_host : test_host {
+    explicit late_host(const test_host& other)
     {
         for (const auto* const service : {"llm", "app"}) {
             register_backend(std::string{"a-old-"} + service, "v1", service);
@@ -289,7 +290,7 @@
         now = other.now;
         follow(other.control.state());
     }
-    std::size_t moved(const std::string& service)
+    std::size_t count_moved(const std::string& service)
     {
         std::size_t out = 0;
         for (int n = 0; n < 400; ++n) {
@@ -301,7 +302,7 @@
 
 } // namespace
 
-// Guards against two roll-outs that begin together, of which one moves the other's sessions.
+// Guards against pinning the sessions of only one of two roll-outs that begin together.
 BOOST_AUTO_TEST_CASE(rollouts_that_begin_together_pin_the_sessions_of_both)
 {
     busy_host one;
@@ -310,13 +311,14 @@
         const std::uint32_t share = service == std::string{"llm"} ? 300 : 50;
         one.step("v2", rollout_phase::running, share, 600, service);
     }
-    two.pin_and_follow(one);
+    two.sync_from(one);
     two.now += millis{2000};
-    BOOST_TEST(two.moved("llm") == 0U);
-    BOOST_TEST(two.moved("app") == 0U);
+    BOOST_TEST(two.count_moved("llm") == 0U);
+    BOOST_TEST(two.count_moved("app") == 0U);
 }
 
-// Guards against a host that joins during a trial and moves the sessions of others.
+// Guards against a host that joins during a trial and moves sessions that other hosts have sent to
+// the old version.
 BOOST_AUTO_TEST_CASE(host_that_joins_in_a_trial_keeps_sessions_on_their_version)
 {
     busy_host one;
@@ -326,12 +328,12 @@
     late_host two{one};
     two.view.pin(one.view.pinned_sessions(one.now), two.now);
     two.now += millis{1000};
-    BOOST_TEST(two.moved("llm") == 0U);
-    // It relays the pins that it received to hosts that join after it.
+    BOOST_TEST(two.count_moved("llm") == 0U);
+    // Pins received from another host are passed on to hosts that join later.
     late_host three{one};
     three.view.pin(two.view.pinned_sessions(two.now), three.now);
     three.now += millis{1000};
-    BOOST_TEST(three.moved("llm") == 0U);
+    BOOST_TEST(three.count_moved("llm") == 0U);
 }
 
 // Guards against a host that joins during a trial and moves sessions back to the old version.
@@ -347,55 +349,55 @@
     }
 }
 
-// Guards against moving a session that began between the order of a trial and its start.
+// Guards against moving a session that began after the trial was announced but before it started.
 BOOST_AUTO_TEST_CASE(sessions_that_begin_before_the_trial_starts_are_pinned)
 {
     busy_host one;
     late_host two{one};
     one.step("v2", rollout_phase::running, 300, 600);
-    two.pin_and_follow(one);
+    two.sync_from(one);
     one.now += millis{500};
-    BOOST_TEST(one.count_to("v2", "late") == 0U);
+    BOOST_TEST(one.count_sessions_on("v2", "late") == 0U);
     two.view.pin(one.view.take_pinned(one.now), one.now);
     two.now += millis{2000};
-    BOOST_TEST(two.count_to("v2", "late") == 0U);
+    BOOST_TEST(two.count_sessions_on("v2", "late") == 0U);
 }
 
-// Guards against taking the version that a session has at another service for its own.
+// Guards against applying a session's version at one service to another service.
 BOOST_AUTO_TEST_CASE(session_has_a_version_at_each_service)
 {
-    one_host it;
+    test_host it;
     it.set_incumbent("v2", "app");
     it.register_backend("a-app", "v2", "app");
     it.set_incumbent("v1", "llm");
     it.register_backend("a-old", "v1");
     it.register_backend("b-new", "v2");
-    it.order("v2");
+    it.begin_rollout("v2");
     it.step("v2", rollout_phase::running, 50, 600);
     it.now += millis{2000};
-    std::size_t moved = 0;
+    std::size_t on_new = 0;
     for (int n = 0; n < 400; ++n) {
         const std::string session = "s" + std::to_string(n);
         it.version_for(session, "app");
-        moved += it.version_for(session) == "v2" ? 1U : 0U;
+        on_new += it.version_for(session) == "v2" ? 1U : 0U;
     }
-    BOOST_TEST(moved < 60U);
+    BOOST_TEST(on_new < 60U);
 }
 
-// Guards against a session that lasts longer than its pin on other hosts.
+// Guards against moving a session that is in use for longer than a pin lasts.
 BOOST_AUTO_TEST_CASE(pins_of_a_session_in_use_are_renewed)
 {
     busy_host one;
     late_host two{one};
     one.step("v2", rollout_phase::running, 300, 600);
-    two.pin_and_follow(one);
+    two.sync_from(one);
     for (int turn = 0; turn < 20; ++turn) {
         one.now += millis{1000};
         two.now = one.now;
-        one.count_to("v1", "s");
+        one.count_sessions_on("v1", "s");
         two.view.pin(one.view.take_pinned(one.now), two.now);
     }
-    BOOST_TEST(two.moved("llm") == 0U);
+    BOOST_TEST(two.count_moved("llm") == 0U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
