--- a/modules/gateway/include/hickorypost/gateway/crash_ledger.h
+++ b/modules/gateway/include/hickorypost/gateway/crash_ledger.h
@@ -14,125 +14,148 @@
 
 namespace hickorypost::gateway {
 
-/// Something that a host has learned about an identity. Facts merge to the same in any order.
+/// An event that concerns a request identity, found by one host and sent to all others. Hosts that
+/// have received the same facts agree, whatever the order of arrival.
 struct crash_fact {
     enum class kind_type : std::uint8_t {
-        crashed, ///< it was in flight on a backend server that ended
-        cleared, ///< it has succeeded, or an operator has cleared it: what was before is void
-        tried,   ///< it is sent once although it is refused otherwise
+        crashed, ///< a request of this identity was in flight on a backend server that crashed
+        cleared, ///< voids earlier crashes: a request succeeded, or an operator cleared the
+                 ///< identity
+        tried,   ///< a request was sent as a trial, although the identity is refused
     };
     kind_type kind = kind_type::crashed;
     request_identity identity;
-    std::string backend;              ///< incarnation; of `crashed`
-    std::uint32_t crashes_before = 0; ///< known to its host when the attempt was sent; of `crashed`
+    std::string backend; ///< incarnation; `crashed` only
+    /// Crashes that the host knew of when it sent the attempt; `crashed` only.
+    std::uint32_t crashes_before = 0;
     instant at;
 };
 
 struct crash_ledger_settings {
-    /// Crashes after which a request is refused.
+    /// Crashes that count against an identity until its requests are refused.
     std::uint32_t max_crashes = 3;
-    /// A refused request is tried once after this long without a crash, by whichever host receives
-    /// it first; doubles with each further crash.
+    /// After this long without a crash, the first host that receives a request of a refused
+    /// identity sends that request as a trial. The time doubles with each further crash, up to
+    /// `longest_trial`.
     millis first_trial{60'000};
     millis longest_trial{600'000};
+    /// Time after the last crash until an identity is forgotten.
     millis retention{1'800'000};
-    /// How long a fact may be late.
+    /// Time for which a clearance or trial without crashes is kept: the longest delay of a fact
+    /// that it must still void.
     millis clear_retention{60'000};
-    /// Facts that are kept; those about the fewest crashes yield first.
+    /// Upper bound of stored facts. Identities with the fewest crashes are evicted first.
     std::size_t max_facts = 4096;
-    /// How late a heartbeat may arrive. A backend server that was taken for crashed is alive once
-    /// its heartbeats have gone on for this long, from this long after its crash.
+    /// The longest delay of a heartbeat. Heartbeats count from this long after a reported
+    /// crash; if they then continue for as long again, the backend server is alive and the crash is
+    /// refuted.
     millis max_heartbeat_delay{6000};
 };
 
-/// Which requests crash the backend servers that run them. Performs no I/O itself.
+/// Finds requests that crash the backend servers that run them. Performs no I/O itself.
 ///
-/// All requests in flight on a crashed backend server are suspects. A crash counts against those
-/// that were in the most crashes, and only if their attempt was sent when the crash before was
-/// known: many callers send equal requests, which lose several backend servers at the same moment.
-/// The order is causal, as facts reach hosts with different delays. A success clears.
+/// All requests in flight on a crashed backend server are suspects. A crash counts only against
+/// those suspects that were in the most crashes. Crashes of attempts that were sent with the same
+/// number of known crashes count once: many callers send equal requests, and several
+/// backend servers that end at the same moment would otherwise suffice to refuse them. That number
+/// orders crashes causally, since facts reach hosts with different delays. A success voids all
+/// earlier crashes.
 class crash_ledger {
 public:
     using share_fn = std::function<void(const crash_fact&)>;
-    /// A backend server that was taken for crashed is alive; `requests` were in flight there.
+    /// Called when a backend server that was reported as crashed turns out to be alive. `requests`:
+    /// the number of identities that were blamed for its crash.
     using refuted_fn = std::function<void(std::string_view backend, std::size_t requests)>;
 
-    /// `share`: called for each fact that this host has found itself.
+    /// `share`: called for each new fact that this host has found itself, to send it to other
+    /// hosts.
     crash_ledger(crash_ledger_settings settings, clock_fn now, share_fn share,
                  refuted_fn refuted = {});
 
-    /// `crashes_before`: what `crashes` returned when the attempt was sent.
+    /// Records that a request was in flight on a backend server that crashed.
+    /// `crashes_before`: the result of `crashes` when the attempt was sent.
     void crashed(const request_identity& identity, std::string_view backend,
                  std::uint32_t crashes_before);
-    /// Returns false if nothing is known of it.
+    /// Voids all crashes of an identity. Returns false if it has none.
     bool clear(const request_identity& identity);
+    /// Records that a request was sent as a trial.
     void tried(const request_identity& identity);
-    /// Takes a fact from another host. Returns true if it is news.
+    /// Merges a fact from another host. Returns true if it was new.
     bool take(const crash_fact& fact);
-    /// A heartbeat has arrived, directly or from another host.
+    /// Notes that a heartbeat has arrived, directly or through another host.
     void heartbeat(std::string_view backend);
+    /// Forgets identities whose retention has passed.
     void expire();
 
     enum class standing : std::uint8_t { unknown, suspect, refused, trial };
-    /// `trial`: it may be sent once; call `tried` then.
+    /// Returns `trial` if a refused request may be sent once; the caller then calls `tried`.
     [[nodiscard]] standing standing_of(const request_identity& identity) const;
-    /// Crashes that count against it.
+    /// The number of crashes that count against an identity.
     [[nodiscard]] std::uint32_t crashes(const request_identity& identity) const;
-    /// Crashes that it was in flight in, whether they count against it or not.
+    /// The number of crashes in which an identity was in flight, whether or not they count.
     [[nodiscard]] std::size_t known_crashes(const request_identity& identity) const;
-    /// False for nearly all requests, without reading their bodies.
+    /// Whether any known identity has this outline. False for nearly all requests, without reading
+    /// their bodies.
     [[nodiscard]] bool may_contain(std::uint64_t outline) const
     {
         return !outlines_.empty() && outlines_.contains(outline);
     }
     [[nodiscard]] bool empty() const noexcept { return records_.empty(); }
+    /// All stored facts, for a host that has just connected.
     [[nodiscard]] std::vector<crash_fact> all() const;
 
-    /// A suspect as operators see it.
+    /// A suspect as listed for operators.
     struct suspect {
         request_identity identity;
         std::uint32_t crashes = 0;
         bool refused = false;
-        std::vector<std::string> backends; ///< that ended while it was in flight
-        micros since_last{0};
+        std::vector<std::string> backends; ///< incarnations that crashed while it was in flight
+        micros since_last{0};              ///< age of the last crash
     };
+    /// All suspects, those with the most crashes first.
     [[nodiscard]] std::vector<suspect> suspects() const;
 
 private:
-    struct mark {
+    struct crash_event {
         std::string backend;
         std::uint32_t crashes_before = 0;
-        instant ended;
+        instant crashed_at;
     };
     struct record {
-        std::vector<mark> marks; ///< by end
+        std::vector<crash_event> events; ///< sorted by `crashed_at`
         instant cleared;
         instant tried;
     };
-    struct victim_list {
+    struct crashed_backend {
         std::vector<request_identity> identities;
-        instant ended;       ///< the last crash that was reported
-        instant alive_since; ///< the first heartbeat that cannot be from before; the epoch: none
+        instant crashed_at; ///< of the last crash that was reported
+        /// The first heartbeat that cannot have been sent before the crash; the epoch if none.
+        instant alive_since;
     };
     using record_map = std::unordered_map<request_identity, record, request_identity_hash>;
 
-    record& open(const request_identity& identity);
-    bool add_mark(const crash_fact& fact);
-    bool add_clear(const crash_fact& fact);
-    void drop_mark(const request_identity& identity, const mark& it);
+    record& find_or_add(const request_identity& identity);
+    /// These return true if the fact was new.
+    bool add_crash(const crash_fact& fact);
+    bool add_clearance(const crash_fact& fact);
+    /// Removes an event of an identity from the index of crashed backend servers.
+    void unindex(const request_identity& identity, const crash_event& event);
     void erase(record_map::iterator at);
-    void make_room();
-    [[nodiscard]] bool explained(const record& it, const mark& crash) const;
-    [[nodiscard]] std::uint32_t count(const record& it) const;
-    [[nodiscard]] instant trial_due(const record& it, std::uint32_t crashes) const;
+    /// Removes the identities with the fewest crashes until a fact fits.
+    void evict();
+    /// Whether another identity in flight in this crash was in more crashes.
+    [[nodiscard]] bool has_likelier_suspect(const record& entry, const crash_event& event) const;
+    /// The number of crashes that count against a record.
+    [[nodiscard]] std::uint32_t count_crashes(const record& entry) const;
+    [[nodiscard]] instant trial_due(const record& entry, std::uint32_t crashes) const;
 
     crash_ledger_settings settings_;
     clock_fn now_;
     share_fn share_;
     refuted_fn refuted_;
     record_map records_;
-    std::unordered_map<std::uint64_t, std::uint32_t> outlines_; ///< how many records have it
-    std::map<std::string, victim_list, std::less<>> victims_;   ///< by incarnation
+    std::unordered_map<std::uint64_t, std::uint32_t> outlines_; ///< number of records by outline
+    std::map<std::string, crashed_backend, std::less<>> crashed_backends_; ///< by incarnation
     std::size_t facts_ = 0;
 };
 
--- a/modules/gateway/include/hickorypost/gateway/crash_watch.h
+++ b/modules/gateway/include/hickorypost/gateway/crash_watch.h
@@ -12,11 +12,11 @@
 
 namespace hickorypost::gateway {
 
-/// A request whose attempt was in flight on a backend server when that ended.
+/// An attempt that was in flight on a backend server whose connection was lost.
 struct crashed_attempt {
     std::string backend; ///< incarnation
     std::string service;
-    std::string request; ///< id of the caller's attempt
+    std::string request; ///< id of the request
     request_identity identity;
     std::uint32_t crashes_before = 0; ///< of the identity, known when the attempt was sent
 };
@@ -28,24 +28,27 @@
 };
 
 struct crash_watch_settings {
-    /// Allows for one TCP retransmission.
+    /// Limit of a test connection; long enough for one TCP retransmission.
     millis dial_timeout{280};
-    /// How long it is remembered that an incarnation has ended.
+    /// Time for which the end of an incarnation is remembered.
     millis ended_lifetime{10'000};
 };
 
-/// Tells backend servers that have ended from connections that were lost, by whether a new
-/// connection is refused. Performs no I/O itself.
+/// Finds out whether a lost connection means that the backend server's process has ended: a new
+/// connection is refused then. Performs no I/O itself.
 ///
-/// A server that has lost power, is cut off or hangs does not refuse connections; one that was
-/// reset by the network accepts them.
+/// A backend server that has lost power, is unreachable or hangs does not refuse connections, and
+/// one whose connection was reset by the network accepts them.
 class crash_watch {
 public:
+    /// `ended`: the backend server has ended. False also if that is unknown.
     using result_fn = std::function<void(bool ended)>;
-    /// Connects to an address; `done` is called once and later, unless the dial is destroyed.
+    /// Connects to a backend server. `done` is called once with whether the connection was refused,
+    /// never from within this call, and not after the dial is destroyed.
     using dial_fn =
         std::function<std::unique_ptr<dial>(const attempt_target&, std::function<void(bool)> done)>;
-    /// Whether this backend server was to end: it drains, has left, or its version is retired.
+    /// Whether the end of a backend server is planned: the server is draining, has left, or its
+    /// version is retired.
     using expected_fn = std::function<bool(const attempt_target&)>;
     using crashed_fn = std::function<void(const crashed_attempt&)>;
 
@@ -55,28 +58,29 @@
     crash_watch(const crash_watch&) = delete;
     crash_watch& operator=(const crash_watch&) = delete;
 
-    /// The connection of an attempt in flight was lost. `result`, if set, is called at once or
-    /// later; then the crash, if it is one, has been reported. Returns 0 if it was called at once.
+    /// Reports that the connection of an attempt in flight was lost. `result`, if set, is called at
+    /// once or later, after a crash has been reported. Returns 0 if the result was known at once,
+    /// else a number for `cancel`.
     std::uint64_t attempt_broke(const attempt_target& target, crashed_attempt attempt,
                                 result_fn result);
-    /// Its result is no longer wanted. The crash is reported all the same.
-    void cancel(std::uint64_t which);
+    /// Drops the result callback of an attempt. A crash is still reported.
+    void cancel(std::uint64_t number);
 
 private:
-    struct waiting {
+    struct pending_attempt {
         std::uint64_t number = 0;
         crashed_attempt attempt;
         result_fn result;
     };
-    struct check {
+    struct crash_check {
         std::unique_ptr<dial> connection;
         std::uint64_t timer = 0;
         bool expected = false;
-        std::vector<waiting> attempts;
+        std::vector<pending_attempt> attempts;
     };
 
-    void start(const attempt_target& target, check& it);
-    void settle(const std::string& backend, bool refused);
+    void start_check(const attempt_target& target, crash_check& it);
+    void finish_check(const std::string& backend, bool refused);
 
     crash_watch_settings settings_;
     scheduler& timers_;
@@ -84,11 +88,11 @@
     dial_fn connect_;
     expected_fn expected_;
     crashed_fn crashed_;
-    std::map<std::string, check> open_; ///< by incarnation
-    /// When an incarnation was found to have ended, and whether that was expected.
-    std::map<std::string, std::pair<instant, bool>> ended_;
-    std::vector<waiting> settling_; ///< those that are being notified
-    std::uint64_t last_ = 0;
+    std::map<std::string, crash_check> checks_; ///< by incarnation
+    /// When the end of an incarnation was detected, and whether the end was planned.
+    std::map<std::string, std::pair<instant, bool>> known_ends_;
+    std::vector<pending_attempt> notifying_; ///< attempts whose result callbacks are being called
+    std::uint64_t last_number_ = 0;
 };
 
 } // namespace hickorypost::gateway
--- a/modules/gateway/src/crash_watch.cpp
+++ b/modules/gateway/src/crash_watch.cpp
@@ -14,7 +14,7 @@
 
 crash_watch::~crash_watch()
 {
-    for (const auto& [backend, it] : open_) {
+    for (const auto& [backend, it] : checks_) {
         timers_.cancel(it.timer);
     }
 }
@@ -22,7 +22,7 @@
 std::uint64_t crash_watch::attempt_broke(const attempt_target& target, crashed_attempt attempt,
                                          result_fn result)
 {
-    if (const auto known = ended_.find(target.backend); known != ended_.end()) {
+    if (const auto known = known_ends_.find(target.backend); known != known_ends_.end()) {
         if (const bool expected = known->second.second; !expected) {
             crashed_(attempt);
         }
@@ -31,67 +31,69 @@
         }
         return 0;
     }
-    const auto [at, is_new] = open_.try_emplace(target.backend);
-    at->second.attempts.push_back({++last_, std::move(attempt), std::move(result)});
+    const auto [at, is_new] = checks_.try_emplace(target.backend);
+    at->second.attempts.push_back({++last_number_, std::move(attempt), std::move(result)});
     if (is_new) {
-        start(target, at->second);
+        start_check(target, at->second);
     }
-    return last_;
+    return last_number_;
 }
 
-void crash_watch::start(const attempt_target& target, check& it)
+void crash_watch::start_check(const attempt_target& target, crash_check& it)
 {
-    // Asked now: once it is known to have crashed it may leave the directory.
+    // Evaluated before the check: a backend server known to have crashed may leave the directory,
+    // and would then look like a planned end.
     it.expected = expected_(target);
     it.timer = timers_.add(now_() + settings_.dial_timeout, [this, backend = target.backend] {
-        open_.at(backend).timer = 0;
-        settle(backend, false);
+        checks_.at(backend).timer = 0;
+        finish_check(backend, false);
     });
     it.connection = connect_(
-        target, [this, backend = target.backend](bool refused) { settle(backend, refused); });
+        target, [this, backend = target.backend](bool refused) { finish_check(backend, refused); });
 }
 
-void crash_watch::cancel(std::uint64_t which)
+void crash_watch::cancel(std::uint64_t number)
 {
-    const auto drop = [which](std::vector<waiting>& from) {
+    const auto drop = [number](std::vector<pending_attempt>& from) {
         for (auto& it : from) {
-            if (it.number == which) {
+            if (it.number == number) {
                 it.result = nullptr;
             }
         }
     };
-    if (which == 0) {
+    if (number == 0) {
         return;
     }
-    for (auto& [backend, it] : open_) {
+    for (auto& [backend, it] : checks_) {
         drop(it.attempts);
     }
-    drop(settling_);
+    drop(notifying_);
 }
 
-void crash_watch::settle(const std::string& backend, bool refused)
+void crash_watch::finish_check(const std::string& backend, bool refused)
 {
-    // Removed first: a subscriber may report another attempt or cancel others.
-    const auto node = open_.extract(backend);
-    check& it = node.mapped();
+    // Removed first: a callback may report another lost connection or cancel other attempts.
+    const auto node = checks_.extract(backend);
+    crash_check& it = node.mapped();
     timers_.cancel(it.timer);
     const instant now = now_();
-    std::erase_if(ended_, [&](const auto& known) {
+    std::erase_if(known_ends_, [&](const auto& known) {
         return now > known.second.first + settings_.ended_lifetime;
     });
     if (refused) {
-        ended_[node.key()] = {now, it.expected};
+        known_ends_[node.key()] = {now, it.expected};
     }
-    // All are reported before the first goes on, so that it is placed by what is known of all.
+    // All crashed attempts are reported before the first result callback, so that retries are
+    // placed with all of them known.
     for (const auto& known : it.attempts) {
         if (refused && !it.expected) {
             crashed_(known.attempt);
         }
     }
-    std::move(it.attempts.begin(), it.attempts.end(), std::back_inserter(settling_));
-    while (!settling_.empty()) {
-        const auto result = std::move(settling_.front().result);
-        settling_.erase(settling_.begin());
+    std::move(it.attempts.begin(), it.attempts.end(), std::back_inserter(notifying_));
+    while (!notifying_.empty()) {
+        const auto result = std::move(notifying_.front().result);
+        notifying_.erase(notifying_.begin());
         if (result) {
             result(refused);
         }
--- a/modules/gateway/tests/crash_ledger_test.cpp
+++ b/modules/gateway/tests/crash_ledger_test.cpp
@@ -14,8 +14,8 @@
 constexpr request_identity good{2, 2};
 constexpr request_identity other{3, 3};
 
-struct one_ledger {
-    explicit one_ledger(crash_ledger_settings settings = {})
+struct test_ledger {
+    explicit test_ledger(crash_ledger_settings settings = {})
         : ledger{settings, now_fn(), share_fn()}
     {
     }
@@ -28,7 +28,8 @@
     {
         return [this](const crash_fact& it) { shared.push_back(it); };
     }
-    /// A backend server ends while these are in flight, each sent after the crash before.
+    /// A backend server crashes while these are in flight, each sent when all earlier crashes were
+    /// known.
     void crash(const std::string& backend, const std::vector<request_identity>& in_flight)
     {
         now += millis{200};
@@ -54,7 +55,7 @@
 // Guards against a request that crashes more than three backend servers.
 BOOST_AUTO_TEST_CASE(request_is_refused_after_three_crashes)
 {
-    one_ledger it;
+    test_ledger it;
     BOOST_TEST((it.ledger.standing_of(crasher) == standing::unknown));
     it.crash("i-1", {crasher});
     it.crash("i-2", {crasher});
@@ -63,10 +64,10 @@
     BOOST_TEST((it.ledger.standing_of(crasher) == standing::refused));
 }
 
-// Guards against refusing requests that were in flight with the one that crashes.
-BOOST_AUTO_TEST_CASE(requests_beside_a_crashing_one_are_not_refused)
+// Guards against refusing requests that were in flight beside the one that crashes.
+BOOST_AUTO_TEST_CASE(requests_in_flight_beside_a_crashing_one_are_not_refused)
 {
-    one_ledger it;
+    test_ledger it;
     it.crash("i-1", {crasher, good});
     it.crash("i-2", {crasher, other});
     it.crash("i-3", {crasher, good});
@@ -77,9 +78,9 @@
 }
 
 // Guards against refusing a request that has succeeded since.
-BOOST_AUTO_TEST_CASE(success_clears)
+BOOST_AUTO_TEST_CASE(success_voids_earlier_crashes)
 {
-    one_ledger it;
+    test_ledger it;
     it.crash("i-1", {good});
     it.crash("i-2", {good});
     BOOST_TEST(it.ledger.clear(good));
@@ -88,10 +89,11 @@
     BOOST_TEST(!it.ledger.clear(crasher));
 }
 
-// Guards against refusing equal requests of many callers, when backend servers end at one moment.
+// Guards against refusing equal requests of many callers after several backend servers have crashed
+// at the same moment.
 BOOST_AUTO_TEST_CASE(backends_that_end_at_the_same_moment_count_once)
 {
-    one_ledger it;
+    test_ledger it;
     for (const auto* const backend : {"i-1", "i-2", "i-3", "i-4"}) {
         it.ledger.crashed(good, backend, 0);
         it.now += millis{5};
@@ -99,10 +101,11 @@
     BOOST_TEST(it.ledger.crashes(good) == 1U);
 }
 
-// Guards against blame for a cut that refuses connections while the backend server runs on.
+// Guards against blaming a request for a network partition that refuses connections while the
+// backend server is alive.
 BOOST_AUTO_TEST_CASE(heartbeats_of_a_backend_refute_its_crash)
 {
-    one_ledger it;
+    test_ledger it;
     it.crash("i-1", {good});
     const instant ended = it.now;
     while (it.ledger.crashes(good) == 1U && it.now < ended + millis{60'000}) {
@@ -113,18 +116,18 @@
     BOOST_TEST((it.now < ended + millis{15'000}));
 }
 
-// Guards against taking a crashed backend server for alive by heartbeats that it sent before.
+// Guards against refuting a crash by heartbeats that were sent before the crash.
 BOOST_AUTO_TEST_CASE(heartbeats_sent_before_a_crash_do_not_refute_it)
 {
-    one_ledger it;
+    test_ledger it;
     it.crash("i-1", {crasher});
-    // By way of several hosts within the time that a heartbeat may take.
+    // Delayed by less than the longest delay of a heartbeat, on paths through several hosts.
     for (int n = 0; n < 50; ++n) {
         it.ledger.heartbeat("i-1");
         it.now += millis{110};
     }
     BOOST_TEST(it.ledger.crashes(crasher) == 1U);
-    // All that were held up by a cut, when it ends.
+    // Held up by a network partition, all delivered when the partition ends.
     it.now += millis{20'000};
     for (int n = 0; n < 50; ++n) {
         it.ledger.heartbeat("i-1");
@@ -133,10 +136,11 @@
     BOOST_TEST(it.ledger.crashes(crasher) == 1U);
 }
 
-// Guards against refuting a crash by heartbeats from before that crash, though after another one.
+// Guards against refuting a crash by heartbeats that were sent after an earlier reported crash but
+// before this one.
 BOOST_AUTO_TEST_CASE(heartbeats_between_two_reported_crashes_refute_neither)
 {
-    one_ledger it;
+    test_ledger it;
     it.crash("i-1", {good});
     it.now += millis{7000};
     it.ledger.heartbeat("i-1");
@@ -147,10 +151,10 @@
     BOOST_TEST(it.ledger.crashes(other) == 1U);
 }
 
-// Guards against a refusal for ever, after a new version has fixed what crashed.
-BOOST_AUTO_TEST_CASE(refused_request_is_tried_again_ever_less_often)
+// Guards against refusing a request forever after a new version has fixed the crash.
+BOOST_AUTO_TEST_CASE(refused_request_is_tried_again_at_growing_intervals)
 {
-    one_ledger it;
+    test_ledger it;
     for (const auto* const backend : {"i-1", "i-2", "i-3"}) {
         it.crash(backend, {crasher});
     }
@@ -169,10 +173,10 @@
     BOOST_TEST((it.ledger.standing_of(crasher) == standing::unknown));
 }
 
-// Guards against hosts that come to different decisions after a cut.
-BOOST_AUTO_TEST_CASE(facts_merge_to_the_same_in_any_order)
+// Guards against hosts that decide differently after a network partition.
+BOOST_AUTO_TEST_CASE(merged_facts_give_equal_counts_in_any_order)
 {
-    one_ledger here;
+    test_ledger here;
     here.crash("i-1", {crasher, good});
     here.crash("i-2", {crasher, good, other});
     here.ledger.clear(good);
@@ -180,7 +184,7 @@
     here.crash("i-4", {crasher});
     std::mt19937 random{7};
     for (int turn = 0; turn < 200; ++turn) {
-        one_ledger there;
+        test_ledger there;
         there.now = here.now;
         auto facts = here.shared;
         facts.insert(facts.end(), here.shared.begin(), here.shared.end());
@@ -197,14 +201,14 @@
     }
 }
 
-// Guards against a host that counts fewer crashes than others, as facts reach it late.
-BOOST_AUTO_TEST_CASE(crashes_count_the_same_however_late_their_facts_arrive)
+// Guards against a host that counts fewer crashes than others because facts reach it late.
+BOOST_AUTO_TEST_CASE(crash_counts_do_not_depend_on_the_delay_of_facts)
 {
-    one_ledger here;
+    test_ledger here;
     for (const auto* const backend : {"i-1", "i-2", "i-3"}) {
         here.crash(backend, {crasher});
     }
-    one_ledger there;
+    test_ledger there;
     there.now = here.now;
     millis delay{900};
     for (auto fact : here.shared) {
@@ -216,10 +220,10 @@
     BOOST_TEST((there.ledger.standing_of(crasher) == standing::refused));
 }
 
-// Guards against a caller that fills the memory with requests that all differ.
-BOOST_AUTO_TEST_CASE(facts_are_bounded_and_the_most_suspect_stay)
+// Guards against exhausting memory by many different requests.
+BOOST_AUTO_TEST_CASE(facts_are_bounded_and_identities_with_most_crashes_are_kept)
 {
-    one_ledger it{{.max_facts = 64}};
+    test_ledger it{{.max_facts = 64}};
     it.crash("i-1", {crasher});
     it.crash("i-2", {crasher});
     for (std::uint64_t n = 10; n < 10'000; ++n) {
--- a/modules/gateway/tests/crash_watch_test.cpp
+++ b/modules/gateway/tests/crash_watch_test.cpp
@@ -11,7 +11,7 @@
 
 const attempt_target target{"i-1", "i-1:1", "app", 10};
 
-struct watched {
+struct test_watch {
     fake_scheduler timers;
     fake_dials dials{timers};
     std::set<std::string> expected;
@@ -36,10 +36,10 @@
 
 BOOST_AUTO_TEST_SUITE(crash_watch_suite)
 
-// Guards against blaming a request for a connection that the network has reset.
+// Guards against blaming a request for a connection that was reset by the network.
 BOOST_AUTO_TEST_CASE(reset_connection_to_a_live_backend_is_no_crash)
 {
-    watched it;
+    test_watch it;
     bool ended = true;
     it.broke("q", [&](bool result) { ended = result; });
     it.timers.run_for(millis{1});
@@ -47,10 +47,11 @@
     BOOST_TEST(it.reported.empty());
 }
 
-// Guards against blaming requests for a loss of power or a cut link, where nobody answers.
+// Guards against blaming requests for a power loss or a network partition, where connection
+// attempts time out.
 BOOST_AUTO_TEST_CASE(backend_that_does_not_answer_is_no_crash)
 {
-    watched it;
+    test_watch it;
     it.dials.unanswered = true;
     int results = 0;
     it.broke("q", [&](bool result) { results += result ? 100 : 1; });
@@ -62,7 +63,7 @@
 // Guards against blaming requests that were in flight when a backend server was stopped as planned.
 BOOST_AUTO_TEST_CASE(expected_end_is_no_crash)
 {
-    watched it;
+    test_watch it;
     it.dials.ended = {"i-1"};
     it.expected = {"i-1"};
     it.broke("q");
@@ -70,10 +71,10 @@
     BOOST_TEST(it.reported.empty());
 }
 
-// Guards against an attempt that goes on before all requests of the crash are known.
-BOOST_AUTO_TEST_CASE(all_attempts_of_a_crash_are_reported_before_the_first_goes_on)
+// Guards against retrying a request before all requests in flight in the crash are reported.
+BOOST_AUTO_TEST_CASE(all_attempts_of_a_crash_are_reported_before_the_first_result)
 {
-    watched it;
+    test_watch it;
     it.dials.ended = {"i-1"};
     std::vector<std::size_t> known;
     for (const auto* const id : {"q1", "q2", "q3"}) {
@@ -85,10 +86,11 @@
     BOOST_TEST(known.back() == 4U);
 }
 
-// Guards against a result for an exchange that is gone, and against a crash that nobody reports.
+// Guards against calling back an exchange that has ended, and against losing the report of a crash
+// when the attempt is cancelled.
 BOOST_AUTO_TEST_CASE(cancelled_attempt_is_reported_and_gets_no_result)
 {
-    watched it;
+    test_watch it;
     it.dials.ended = {"i-1"};
     const auto number = it.broke("q", [](bool) { BOOST_TEST(false); });
     it.watch.cancel(number);
