--- a/modules/gateway/include/hickorypost/gateway/order_progress.h
+++ b/modules/gateway/include/hickorypost/gateway/order_progress.h
@@ -5,28 +5,32 @@
 
 namespace hickorypost::gateway {
 
-/// How far an order to the control log's leader has come, and when it is sent again. Sans I/O.
+/// Decides when an order, a request to the control log's leader, is sent again and when it times
+/// out. Performs no I/O itself.
 ///
-/// Load pattern: after a loss of power all hosts ask one leader for the whole state at once,
-/// through its one link. An order sent again while its answer is still on the way makes the queue
-/// longer with each try, until the leader's memory is full; so a host that leads and is linked is
-/// given time, and only one that may not have got the order is asked again soon.
+/// After a power loss all hosts request the whole state from one leader at once, over its one link.
+/// Sending an order again while its answer is queued lengthens that queue with each attempt, until
+/// the leader runs out of memory. The connected leader therefore gets a long resend interval, and
+/// only a host that may not have received the order gets a short one.
 class order_progress {
 public:
-    explicit order_progress(instant now) : since_{now} {}
+    explicit order_progress(instant now) : started_{now} {}
 
+    /// Notes that the order was sent to `host`, which need not be the leader.
     void sent_to(node_id host, instant now);
-    /// The host asked has said that it does not lead.
+    /// The host that the order was last sent to has answered that it is not the leader.
     void refused() noexcept { refused_ = true; }
 
+    /// Whether the order has timed out.
     [[nodiscard]] bool expired(instant now) const;
-    /// `leader` is empty while none is known.
+    /// Whether the order is to be sent again. `leader`: the leader as known now, empty if unknown.
     [[nodiscard]] bool ask_again(const node_id& leader, instant now) const;
+    /// How often the order was sent.
     [[nodiscard]] std::size_t tries() const noexcept { return tries_; }
 
 private:
-    instant since_;
-    instant asked_;
+    instant started_;
+    instant last_sent_;
     node_id host_;
     bool refused_ = false;
     std::size_t tries_ = 0;
--- a/modules/gateway/include/hickorypost/gateway/site_config.h
+++ b/modules/gateway/include/hickorypost/gateway/site_config.h
@@ -1,6 +1,6 @@
 #pragma once
-/// The operators' whole configuration of a site, as typed values. A higher version replaces a lower
-/// one as a whole.
+/// A site's configuration, as submitted by operators. A configuration with a higher version
+/// replaces the whole of the one before.
 
 #include "hickorypost/base/time.h"
 
@@ -11,7 +11,7 @@
 
 namespace hickorypost::gateway {
 
-/// What may be repeated. Follows from the route, never from the method.
+/// Whether a request may be retried. Set by the route, regardless of the HTTP method.
 enum class request_kind : std::uint8_t {
     safe,     ///< may run more than once
     unsafe,   ///< runs at most once
@@ -28,28 +28,28 @@
     std::string host;
     std::string path_prefix; ///< begins and ends with a slash
     request_kind kind = request_kind::unsafe;
-    millis timeout{0};                      ///< longest time that a caller is kept waiting
-    millis target_latency{0};               ///< to the answer, or to a stream's first event
-    std::optional<millis> target_gap;       ///< longest pause between a stream's events
-    int priority = 0;                       ///< 0 is the most urgent
-    std::uint32_t max_attempts = 1;         ///< backend servers that one request may be sent to
-    bool needs_key = true;                  ///< false: callers are not identified
-    bool prefix_cached = false;             ///< requests carry prompts whose parts engines keep
-    bool resumable = false;                 ///< a broken stream may go on at another backend server
-    std::vector<std::string> models;        ///< smallest first; empty: callers name the model
+    millis timeout{0};                ///< longest time that a caller waits
+    millis target_latency{0};         ///< until the answer, or a stream's first event
+    std::optional<millis> target_gap; ///< longest interval between a stream's events
+    int priority = 0;                 ///< 0 is the most urgent
+    std::uint32_t max_attempts = 1;   ///< for one request, including the first
+    bool needs_key = true;            ///< false: callers are not identified
+    bool prefix_cached = false;       ///< engines cache prefixes of the requests' prompts
+    bool resumable = false;           ///< a broken stream may resume on another backend server
+    std::vector<std::string> models;  ///< smallest first; empty if callers name the model
     std::vector<weighted_service> services; ///< at least one
 };
 
 struct model_spec {
     std::string name;
-    double cost = 0; ///< per 1,000 tokens generated; tokens read count a quarter
+    double cost = 0; ///< per 1,000 generated tokens; a prompt token costs a quarter
 };
 
-/// What a service's model engines are like.
+/// Properties of the model engines behind a service.
 struct engine_spec {
-    std::uint32_t slots = 1;
-    double memory_tokens = 0;
-    double tokens_per_event = 1;
+    std::uint32_t slots = 1;     ///< requests that one engine runs concurrently
+    double memory_tokens = 0;    ///< size of one engine's KV cache, in tokens
+    double tokens_per_event = 1; ///< tokens in one event of a stream
     std::vector<model_spec> models;
 };
 
@@ -63,10 +63,10 @@
 struct account_spec {
     std::string name;
     std::vector<std::string> keys;
-    std::optional<int> priority; ///< goes before the route's
+    std::optional<int> priority; ///< overrides the route's
 };
 
-/// Bounds on what callers send.
+/// Limits on requests and connections of callers.
 struct caller_limits {
     std::uint32_t head_bytes = 16U << 10U;
     std::uint64_t body_bytes = std::uint64_t{4} << 20U;
@@ -79,17 +79,17 @@
     std::vector<route_spec> routes;
     std::vector<service_spec> services;
     std::vector<account_spec> accounts;
-    bool has_accounts = false; ///< callers are identified by keys
+    bool has_accounts = false; ///< callers are identified by their keys
     caller_limits limits;
 };
 
-/// Where a configuration contradicts itself, and how.
+/// An inconsistency within a configuration.
 struct config_fault {
-    std::string place; ///< as in `routes[3].services`
-    std::string what;
+    std::string place; ///< path of the member, for example `routes[3].services`
+    std::string what;  ///< what is wrong with the member
 };
 
-/// The first contradiction within a configuration; nothing if it may take effect.
+/// Returns the first inconsistency, or nothing if the configuration is valid.
 std::optional<config_fault> find_fault(const site_config& config);
 
 } // namespace hickorypost::gateway
--- a/modules/gateway/src/route_table.cpp
+++ b/modules/gateway/src/route_table.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// Hosts compare without case and without a port.
-std::string host_key(std::string_view host)
+/// Removes the port and converts to lower case, as host names compare without case.
+std::string normalize_host(std::string_view host)
 {
     std::string out{host.substr(0, host.find(':'))};
     std::transform(out.begin(), out.end(), out.begin(),
@@ -21,7 +21,7 @@
 route_table::route_table(site_config config) : config_{std::move(config)}
 {
     for (const auto& it : config_.routes) {
-        by_host_[host_key(it.host)].push_back(&it);
+        by_host_[normalize_host(it.host)].push_back(&it);
     }
     for (auto& [host, routes] : by_host_) {
         std::sort(routes.begin(), routes.end(), [](const auto* a, const auto* b) {
@@ -40,14 +40,14 @@
 
 const route_spec* route_table::find_route(std::string_view host, std::string_view path) const
 {
-    const auto routes = by_host_.find(host_key(host));
+    const auto routes = by_host_.find(normalize_host(host));
     if (routes == by_host_.end()) {
         return nullptr;
     }
-    const std::string_view plain = path.substr(0, path.find('?'));
+    const std::string_view path_only = path.substr(0, path.find('?'));
     const auto it =
         std::find_if(routes->second.begin(), routes->second.end(),
-                     [&](const auto* route) { return plain.starts_with(route->path_prefix); });
+                     [&](const auto* route) { return path_only.starts_with(route->path_prefix); });
     return it == routes->second.end() ? nullptr : *it;
 }
 
--- a/modules/gateway/tests/order_progress_test.cpp
+++ b/modules/gateway/tests/order_progress_test.cpp
@@ -13,10 +13,10 @@
 
 BOOST_AUTO_TEST_SUITE(order_progress_suite)
 
-// All hosts come back after a loss of power and ask the leader for its state; each answer waits
-// behind the others in the leader's link. A host that asked again every quarter of a second would
-// lengthen that queue faster than it drains, until the leader is ended for its memory.
-BOOST_AUTO_TEST_CASE(a_leader_that_is_busy_answering_is_not_asked_again_at_once)
+// Guards against exhausting the leader's memory after a power loss. All hosts request the leader's
+// state, and the answers queue on the leader's link. Resending every quarter of a second would
+// lengthen that queue faster than it drains, until the leader is killed for its memory.
+BOOST_AUTO_TEST_CASE(order_to_the_leader_is_resent_after_the_long_interval)
 {
     order_progress it{start};
     it.sent_to("leader", start);
@@ -24,7 +24,8 @@
     BOOST_TEST(it.ask_again("leader", start + millis{601}));
 }
 
-BOOST_AUTO_TEST_CASE(another_leader_is_asked_at_the_next_turn)
+// Guards against waiting for a host that is no longer the leader.
+BOOST_AUTO_TEST_CASE(order_is_resent_to_a_new_leader_at_the_next_check)
 {
     order_progress it{start};
     it.sent_to("old", start);
@@ -32,7 +33,8 @@
     BOOST_TEST(it.ask_again("new", start + millis{51}));
 }
 
-BOOST_AUTO_TEST_CASE(without_a_known_leader_the_next_host_is_tried_soon)
+// Guards against a stalled order while no leader is known.
+BOOST_AUTO_TEST_CASE(order_is_resent_after_the_short_interval_while_no_leader_is_known)
 {
     order_progress it{start};
     it.sent_to("somebody", start);
@@ -40,7 +42,8 @@
     BOOST_TEST(it.ask_again({}, start + millis{251}));
 }
 
-BOOST_AUTO_TEST_CASE(a_host_that_said_no_but_is_still_taken_for_the_leader_is_asked_again_soon)
+// Guards against the long interval after a refusal by a host that is still believed to lead.
+BOOST_AUTO_TEST_CASE(order_refused_by_the_supposed_leader_is_resent_after_the_short_interval)
 {
     order_progress it{start};
     it.sent_to("leader", start);
@@ -49,7 +52,8 @@
     BOOST_TEST(it.ask_again("leader", start + millis{251}));
 }
 
-BOOST_AUTO_TEST_CASE(an_order_ends_before_the_operator_moves_on)
+// Guards against an order that outlives the operator's client, which moves on after a second.
+BOOST_AUTO_TEST_CASE(order_times_out_before_the_client_tries_another_host)
 {
     const order_progress it{start};
     BOOST_TEST(!it.expired(start + millis{900}));
