--- a/modules/gateway/include/hickorypost/gateway/crash_watch.h
+++ b/modules/gateway/include/hickorypost/gateway/crash_watch.h
@@ -16,7 +16,7 @@
 struct crashed_attempt {
     std::string backend; ///< incarnation
     std::string service;
-    std::string request; ///< id of the request
+    std::string request; ///< id of the request, as the caller sent it
     request_identity identity;
     std::uint32_t crashes_before = 0; ///< of the identity, known when the attempt was sent
 };
--- a/modules/gateway/include/hickorypost/gateway/rollout_judge.h
+++ b/modules/gateway/include/hickorypost/gateway/rollout_judge.h
@@ -17,8 +17,8 @@
     /// Share of requests, in thousandths, that goes to the new version during the trial. Small, so
     /// that few requests reach a version that starts to fail late.
     std::uint32_t trial_permille = 50;
-    /// Time between the roll-out command and the trial. All processes receive the command and
-    /// report sessions that use the old version within it.
+    /// Time between the roll-out command and the trial, in which all processes receive the command
+    /// and report sessions that use the old version.
     millis trial_delay{500};
     /// Fraction of the duration at which the trial ends. Sessions that began on the old version
     /// must not move in the first half.
@@ -36,10 +36,10 @@
     /// Older answers are ignored: earlier good answers must not hide a version that starts to fail
     /// late or under load.
     millis evidence_window{4000};
-    /// Test of answers that are slow by their pace (see `rollout_view::record_pace`). By definition
-    /// about a quarter of the old version's answers are slow. Load changes the pace of both
-    /// versions, so the test applies only while the window holds at least `min_paced_answers`
-    /// answers of the old version.
+    /// Test of answers that are slow by their pace (see `rollout_view::record_pace`). About a
+    /// quarter of the old version's answers lie above its upper quartile, by chance some more. Load
+    /// changes the pace of both versions, so the test applies only while the evidence window holds
+    /// at least `min_paced_answers` answers of the old version.
     rollout::test_options pace_test{.max_worse = 0.3, .confidence = 0.995, .floor_ratio = 0.25};
     std::uint64_t min_paced_answers = 20;
     /// Nor does the test apply once the old version has less than this fraction of the new
@@ -74,7 +74,9 @@
 private:
     struct tracked_rollout {
         rollout_status status;
-        instant started; ///< by this process's clock, less the time elapsed before it knew of it
+        /// By this process's clock: when it first saw the roll-out, less the committed elapsed
+        /// time.
+        instant started;
         std::deque<std::pair<instant, rollout_view::report_row>> reports; ///< the newest last
     };
     /// Totals of both versions within the evidence window.
