--- a/src/gateway/backend_pool.cpp
+++ b/src/gateway/backend_pool.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-constexpr unsigned first_final_status = 200;
+constexpr unsigned min_final_status = 200;
 constexpr std::int64_t millis_per_second = 1000;
 
-/// The idle timeout that a `Keep-Alive` field names.
+/// Parses the `timeout` parameter of the `Keep-Alive` header field.
 std::optional<millis> keep_alive_timeout(const http1::field_list& fields)
 {
     const auto text = fields.find("Keep-Alive");
@@ -28,21 +28,22 @@
 
 } // namespace
 
-/// One connection to a backend server, idle or with one request.
+/// A connection to a backend server: idle, or busy with one request.
 class backend_pool::connection {
 public:
     connection(backend_pool& pool, gateway::attempt_target target)
-        : pool_{pool}, target_{std::move(target)}, idle_limit_{pool.settings_.idle_default}
+        : pool_{pool}, target_{std::move(target)}, idle_timeout_{
+                                                       pool.settings_.default_idle_timeout}
     {
-        ++pool_.count_[target_.backend];
+        ++pool_.open_count_[target_.backend];
     }
 
     ~connection()
     {
         pool_.timers_.cancel(timer_);
-        const auto count = pool_.count_.find(target_.backend);
+        const auto count = pool_.open_count_.find(target_.backend);
         if (--count->second == 0) {
-            pool_.count_.erase(count);
+            pool_.open_count_.erase(count);
         }
     }
     connection(const connection&) = delete;
@@ -50,15 +51,17 @@
 
     void open()
     {
-        const auto to = net::endpoint::parse(target_.address);
-        if (!to) {
-            arm(millis{0}, [this] { fault(gateway::attempt_fault::not_sent); });
+        const auto address = net::endpoint::parse(target_.address);
+        if (!address) {
+            set_timer(millis{0}, [this] { fail(gateway::attempt_fault::not_sent); });
             return;
         }
         ++pool_.opened_;
-        stream_ = net::tcp_stream::connect(pool_.poller_, *to, pool_.settings_.silence_limit);
+        stream_ = net::tcp_stream::connect(pool_.poller_, *address,
+                                           pool_.settings_.unacknowledged_timeout);
         set_hooks();
-        arm(pool_.settings_.connect_limit, [this] { fault(gateway::attempt_fault::not_sent); });
+        set_timer(pool_.settings_.connect_timeout,
+                  [this] { fail(gateway::attempt_fault::not_sent); });
     }
 
     void begin(std::string_view head, std::string_view body, bool bodyless,
@@ -66,8 +69,8 @@
     {
         events_ = &events;
         bodyless_ = bodyless;
-        head_told_ = false;
-        got_bytes_ = false;
+        head_delivered_ = false;
+        received_bytes_ = false;
         parser_.begin(bodyless);
         if (stream_) {
             stream_->write(head);
@@ -82,30 +85,31 @@
         }
     }
 
-    /// The request is given up: the backend server must notice at once, so the connection closes.
+    /// Abandons the request. Closing the connection tells the backend server at once.
     void cancel()
     {
         events_ = nullptr;
         close();
-        pool_.drop(this);
+        pool_.remove(this);
     }
 
-    void rest()
+    /// Starts the idle timeout.
+    void on_idle()
     {
-        arm(idle_limit_, [this] {
+        set_timer(idle_timeout_, [this] {
             close();
-            pool_.drop(this);
+            pool_.remove(this);
         });
     }
 
-    void leave_rest() { pool_.timers_.cancel(std::exchange(timer_, 0)); }
-    /// Ends the request under way without an answer.
-    void break_off() { fault(fault_now()); }
+    void cancel_idle_timer() { pool_.timers_.cancel(std::exchange(timer_, 0)); }
+    /// Fails the request in flight.
+    void abort() { fail(fault_on_close()); }
     [[nodiscard]] const std::string& backend() const noexcept { return target_.backend; }
     [[nodiscard]] bool usable() const noexcept { return stream_ && stream_->open(); }
 
 private:
-    void arm(millis after, std::function<void()> hook)
+    void set_timer(millis after, std::function<void()> hook)
     {
         pool_.timers_.cancel(timer_);
         timer_ = pool_.timers_.add(pool_.now_() + after, [this, hook = std::move(hook)] {
@@ -118,28 +122,28 @@
     {
         net::tcp_stream::hooks hooks;
         hooks.connected = [this] { pool_.timers_.cancel(std::exchange(timer_, 0)); };
-        hooks.bytes = [this](std::string_view bytes) { take(bytes); };
-        hooks.ended = [this](net::stream_end how) { ended(how); };
+        hooks.bytes = [this](std::string_view bytes) { on_bytes(bytes); };
+        hooks.ended = [this](net::stream_end end) { on_ended(end); };
         stream_->set_hooks(std::move(hooks));
     }
 
     void close()
     {
         if (stream_) {
-            // Hooks off first: nothing of this connection may reach a later request.
+            // Removes the hooks first, so that late events never reach the next request.
             stream_->set_hooks({});
             stream_->close();
         }
     }
 
-    void take(std::string_view bytes)
+    void on_bytes(std::string_view bytes)
     {
         if (events_ == nullptr) {
-            close(); // bytes that nobody asked for
-            pool_.drop(this);
+            close(); // unsolicited bytes
+            pool_.remove(this);
             return;
         }
-        got_bytes_ = true;
+        received_bytes_ = true;
         parser_.push(bytes);
         advance();
     }
@@ -148,46 +152,48 @@
     {
         while (events_ != nullptr) {
             if (parser_.fault() != http1::parse_fault::none) {
-                fault(gateway::attempt_fault::broken);
+                fail(gateway::attempt_fault::broken);
                 return;
             }
             if (!parser_.head_done()) {
                 return;
             }
-            if (!head_told_ && !tell_head()) {
+            if (!head_delivered_ && !deliver_head()) {
                 if (!skipping_) {
                     return;
                 }
             }
-            if (!pass_body()) {
+            if (!deliver_body()) {
                 return;
             }
         }
     }
 
-    /// False: there is nothing more to do for now.
-    bool tell_head()
+    /// Passes the response head to `events_`. Returns false if the response is skipped or the
+    /// request has been abandoned.
+    bool deliver_head()
     {
         auto& head = parser_.head();
-        if (head.status < first_final_status) {
-            skipping_ = true; // an interim answer
+        if (head.status < min_final_status) {
+            skipping_ = true; // interim response (1xx)
         } else {
             keep_alive_ = head.keep_alive && head.body != http1::framing::until_close;
             if (const auto timeout = keep_alive_timeout(head.fields)) {
-                idle_limit_ = millis{static_cast<std::int64_t>(
-                    static_cast<double>(timeout->count()) * pool_.settings_.idle_part)};
+                idle_timeout_ = millis{static_cast<std::int64_t>(
+                    static_cast<double>(timeout->count()) * pool_.settings_.idle_timeout_fraction)};
             }
-            head_told_ = true;
+            head_delivered_ = true;
             skipping_ = !events_->on_head(head);
             if (skipping_) {
-                head_told_ = false;
+                head_delivered_ = false;
             }
         }
         return events_ != nullptr && !skipping_;
     }
 
-    /// True: go on with what the parser still holds.
-    bool pass_body()
+    /// Passes the available body bytes to `events_`. Returns true if a skipped response has ended
+    /// and the parser may hold the next one.
+    bool deliver_body()
     {
         if (std::string body = parser_.take_body(); !body.empty() && !skipping_) {
             events_->on_body(body);
@@ -209,35 +215,36 @@
     void complete()
     {
         auto* const events = std::exchange(events_, nullptr);
-        // Unsent bytes: it answered before it had read the request. Extra bytes belong to nobody.
-        const bool clean = keep_alive_ && !parser_.has_extra() && stream_ && stream_->open() &&
-                           stream_->unsent() == 0;
-        if (clean) {
-            pool_.finished(this);
+        // Unsent bytes mean that the backend server responded before it had read the whole request;
+        // extra bytes belong to no response. Neither kind of connection can be reused.
+        const bool reusable = keep_alive_ && !parser_.has_extra() && stream_ && stream_->open() &&
+                              stream_->unsent() == 0;
+        if (reusable) {
+            pool_.make_idle(this);
         } else {
             close();
-            pool_.drop(this);
+            pool_.remove(this);
         }
         events->on_complete();
     }
 
-    void fault(gateway::attempt_fault how)
+    void fail(gateway::attempt_fault fault)
     {
         auto* const events = std::exchange(events_, nullptr);
         close();
-        pool_.drop(this);
+        pool_.remove(this);
         if (events != nullptr) {
-            events->on_fault(how);
+            events->on_fault(fault);
         }
     }
 
-    void ended(net::stream_end how)
+    void on_ended(net::stream_end end)
     {
         if (events_ == nullptr) {
-            pool_.drop(this);
+            pool_.remove(this);
             return;
         }
-        if (how == net::stream_end::finished && parser_.head_done() && head_told_) {
+        if (end == net::stream_end::finished && parser_.head_done() && head_delivered_) {
             parser_.finish();
             if (parser_.done()) {
                 keep_alive_ = false;
@@ -245,16 +252,16 @@
                 return;
             }
         }
-        fault(fault_now());
+        fail(fault_on_close());
     }
 
-    /// What it means for the request that its connection ends now.
-    [[nodiscard]] gateway::attempt_fault fault_now() const
+    /// Fault of the request in flight if its connection closes now.
+    [[nodiscard]] gateway::attempt_fault fault_on_close() const
     {
         if (!stream_ || !stream_->sent_any()) {
             return gateway::attempt_fault::not_sent;
         }
-        return got_bytes_ ? gateway::attempt_fault::broken : gateway::attempt_fault::silent;
+        return received_bytes_ ? gateway::attempt_fault::broken : gateway::attempt_fault::silent;
     }
 
     backend_pool& pool_;
@@ -263,56 +270,57 @@
     http1::response_parser parser_;
     gateway::attempt_events* events_ = nullptr;
     std::uint64_t timer_ = 0;
-    millis idle_limit_;
+    millis idle_timeout_;
     bool bodyless_ = false;
-    bool head_told_ = false;
+    bool head_delivered_ = false;
     bool skipping_ = false;
-    bool got_bytes_ = false;
+    bool received_bytes_ = false;
     bool keep_alive_ = false;
 
-    friend class backend_pool::running;
+    friend class backend_pool::pooled_attempt;
 };
 
-/// The flow's hold on a request under way.
-class backend_pool::running final : public gateway::attempt {
+/// The exchange's handle on a request in flight; destroying it cancels the request.
+class backend_pool::pooled_attempt final : public gateway::attempt {
 public:
-    running(backend_pool& pool, connection* on) : pool_{pool}, on_{on} {}
-    ~running() override
+    pooled_attempt(backend_pool& pool, connection* conn) : pool_{pool}, connection_{conn} {}
+    ~pooled_attempt() override
     {
-        if (const auto it = pool_.busy_.find(on_); it != pool_.busy_.end() && active()) {
-            on_->cancel();
+        if (const auto found = pool_.busy_.find(connection_);
+            found != pool_.busy_.end() && active()) {
+            connection_->cancel();
         }
     }
-    running(const running&) = delete;
-    running& operator=(const running&) = delete;
+    pooled_attempt(const pooled_attempt&) = delete;
+    pooled_attempt& operator=(const pooled_attempt&) = delete;
 
     void set_reading(bool on) override
     {
-        if (pool_.busy_.contains(on_) && active()) {
-            on_->set_reading(on);
+        if (pool_.busy_.contains(connection_) && active()) {
+            connection_->set_reading(on);
         }
     }
 
 private:
-    [[nodiscard]] bool active() const { return on_->events_ != nullptr; }
+    [[nodiscard]] bool active() const { return connection_->events_ != nullptr; }
 
     backend_pool& pool_;
-    connection* on_;
+    connection* connection_;
 };
 
-/// An attempt for which there was no connection.
-class backend_pool::no_attempt final : public gateway::attempt {
+/// Fails with `no_room`: the connection limit of the backend server is reached.
+class backend_pool::rejected_attempt final : public gateway::attempt {
 public:
-    no_attempt(backend_pool& pool, gateway::attempt_events& events)
+    rejected_attempt(backend_pool& pool, gateway::attempt_events& events)
         : pool_{pool}, timer_{pool.timers_.add(pool.now_(), [this, &events] {
               timer_ = 0;
               events.on_fault(gateway::attempt_fault::no_room);
           })}
     {
     }
-    ~no_attempt() override { pool_.timers_.cancel(timer_); }
-    no_attempt(const no_attempt&) = delete;
-    no_attempt& operator=(const no_attempt&) = delete;
+    ~rejected_attempt() override { pool_.timers_.cancel(timer_); }
+    rejected_attempt(const rejected_attempt&) = delete;
+    rejected_attempt& operator=(const rejected_attempt&) = delete;
     void set_reading(bool) override {}
 
 private:
@@ -320,38 +328,38 @@
     std::uint64_t timer_;
 };
 
-backend_pool::backend_pool(net::poller& on, gateway::scheduler& timers, clock_fn now,
-                           std::function<std::size_t()> hosts, backend_pool_settings settings)
-    : poller_{on}, timers_{timers}, now_{std::move(now)}, hosts_{std::move(hosts)}, settings_{
-                                                                                        settings}
+backend_pool::backend_pool(net::poller& poller, gateway::scheduler& timers, clock_fn now,
+                           std::function<std::size_t()> host_count, backend_pool_settings settings)
+    : poller_{poller}, timers_{timers}, now_{std::move(now)},
+      host_count_{std::move(host_count)}, settings_{settings}
 {
 }
 
-bool backend_pool::has_room(const gateway::attempt_target& target) const
+bool backend_pool::has_capacity(const gateway::attempt_target& target) const
 {
-    const auto count = count_.find(target.backend);
-    if (count == count_.end() || target.max_connections == 0) {
+    const auto count = open_count_.find(target.backend);
+    if (count == open_count_.end() || target.max_connections == 0) {
         return true;
     }
-    const double share = settings_.used_part * target.max_connections /
-                         static_cast<double>(std::max<std::size_t>(1, hosts_()));
+    const double share = settings_.connection_limit_fraction * target.max_connections /
+                         static_cast<double>(std::max<std::size_t>(1, host_count_()));
     return static_cast<double>(count->second) < std::max(1.0, share);
 }
 
 backend_pool::~backend_pool()
 {
-    timers_.cancel(drop_timer_);
+    timers_.cancel(closed_timer_);
 }
 
 std::unique_ptr<backend_pool::connection> backend_pool::take_idle(const std::string& backend)
 {
     const auto found = idle_.find(backend);
     while (found != idle_.end() && !found->second.empty()) {
-        auto it = std::move(found->second.back());
+        auto conn = std::move(found->second.back());
         found->second.pop_back();
-        it->leave_rest();
-        if (it->usable()) {
-            return it;
+        conn->cancel_idle_timer();
+        if (conn->usable()) {
+            return conn;
         }
     }
     return nullptr;
@@ -362,38 +370,38 @@
                                                       bool bodyless,
                                                       gateway::attempt_events& events)
 {
-    auto it = take_idle(target.backend);
-    if (!it && !has_room(target)) {
-        return std::make_unique<no_attempt>(*this, events);
-    }
-    if (!it) {
-        it = std::make_unique<connection>(*this, target);
-        it->open();
-    }
-    connection* const raw = it.get();
-    busy_.emplace(raw, std::move(it));
-    raw->begin(head, body, bodyless, events);
-    return std::make_unique<running>(*this, raw);
+    auto conn = take_idle(target.backend);
+    if (!conn && !has_capacity(target)) {
+        return std::make_unique<rejected_attempt>(*this, events);
+    }
+    if (!conn) {
+        conn = std::make_unique<connection>(*this, target);
+        conn->open();
+    }
+    connection* const started = conn.get();
+    busy_.emplace(started, std::move(conn));
+    started->begin(head, body, bodyless, events);
+    return std::make_unique<pooled_attempt>(*this, started);
 }
 
-void backend_pool::finished(connection* it)
+void backend_pool::make_idle(connection* conn)
 {
-    const auto found = busy_.find(it);
+    const auto found = busy_.find(conn);
     auto owned = std::move(found->second);
     busy_.erase(found);
-    owned->rest();
+    owned->on_idle();
     idle_[owned->backend()].push_back(std::move(owned));
 }
 
-void backend_pool::drop(connection* it)
+void backend_pool::remove(connection* conn)
 {
     std::unique_ptr<connection> owned;
-    if (const auto found = busy_.find(it); found != busy_.end()) {
+    if (const auto found = busy_.find(conn); found != busy_.end()) {
         owned = std::move(found->second);
         busy_.erase(found);
-    } else if (const auto list = idle_.find(it->backend()); list != idle_.end()) {
+    } else if (const auto list = idle_.find(conn->backend()); list != idle_.end()) {
         const auto at = std::find_if(list->second.begin(), list->second.end(),
-                                     [&](const auto& known) { return known.get() == it; });
+                                     [&](const auto& known) { return known.get() == conn; });
         if (at != list->second.end()) {
             owned = std::move(*at);
             list->second.erase(at);
@@ -405,18 +413,18 @@
     if (!owned) {
         return;
     }
-    owned->leave_rest();
-    // It may be in the middle of one of its own calls.
-    dropped_.push_back(std::move(owned));
-    if (drop_timer_ == 0) {
-        drop_timer_ = timers_.add(now_(), [this] {
-            drop_timer_ = 0;
-            dropped_.clear();
+    owned->cancel_idle_timer();
+    // Destroyed later, because this call may come from one of the connection's own methods.
+    closed_.push_back(std::move(owned));
+    if (closed_timer_ == 0) {
+        closed_timer_ = timers_.add(now_(), [this] {
+            closed_timer_ = 0;
+            closed_.clear();
         });
     }
 }
 
-void backend_pool::forget(const std::string& backend)
+void backend_pool::close_idle(const std::string& backend)
 {
     const auto found = idle_.find(backend);
     if (found == idle_.end()) {
@@ -424,35 +432,35 @@
     }
     auto list = std::move(found->second);
     idle_.erase(found);
-    for (auto& it : list) {
-        it->leave_rest();
-        dropped_.push_back(std::move(it));
-    }
-    if (drop_timer_ == 0) {
-        drop_timer_ = timers_.add(now_(), [this] {
-            drop_timer_ = 0;
-            dropped_.clear();
+    for (auto& conn : list) {
+        conn->cancel_idle_timer();
+        closed_.push_back(std::move(conn));
+    }
+    if (closed_timer_ == 0) {
+        closed_timer_ = timers_.add(now_(), [this] {
+            closed_timer_ = 0;
+            closed_.clear();
         });
     }
 }
 
-void backend_pool::lost(const std::string& backend)
+void backend_pool::close_all(const std::string& backend)
 {
-    forget(backend);
+    close_idle(backend);
     std::vector<connection*> open;
-    for (const auto& [raw, it] : busy_) {
-        if (raw->backend() == backend) {
-            open.push_back(raw);
+    for (const auto& [conn, owned] : busy_) {
+        if (conn->backend() == backend) {
+            open.push_back(conn);
         }
     }
-    for (auto* const it : open) {
-        if (busy_.contains(it)) { // else the one before took it along
-            it->break_off();
+    for (auto* const conn : open) {
+        if (busy_.contains(conn)) { // failing one request may cancel others
+            conn->abort();
         }
     }
 }
 
-std::size_t backend_pool::idle() const noexcept
+std::size_t backend_pool::idle_connections() const noexcept
 {
     std::size_t out = 0;
     for (const auto& [backend, list] : idle_) {
--- a/src/gateway/backend_pool.h
+++ b/src/gateway/backend_pool.h
@@ -14,29 +14,33 @@
 
 namespace hickorypost {
 
+/// Timeouts and connection limits of a `backend_pool`.
 struct backend_pool_settings {
-    /// Without a connection after this long the backend server counts as unreachable.
-    millis connect_limit{500};
-    /// Idle time after which a connection is closed where the backend server names no timeout.
-    millis idle_default{4000};
-    /// Part of the backend server's own idle timeout after which a connection is not used again: a
-    /// request that meets the close on its way may have run, and could not be repeated.
-    double idle_part = 0.6;
-    /// Part of a backend server's connection limit that all hosts use together. The rest covers
-    /// hosts that do not know of each other: one connection too many is reset, and a request on it
-    /// may have run.
-    double used_part = 0.8;
-    /// Unacknowledged bytes or unanswered probes after which a connection is dead.
-    millis silence_limit{2500};
+    /// A connection that is not established within this time counts as failed.
+    millis connect_timeout{500};
+    /// Idle timeout of connections to a backend server that announces none in `Keep-Alive`.
+    millis default_idle_timeout{4000};
+    /// Fraction of the backend server's announced idle timeout after which an idle connection is
+    /// closed. A request that is sent while the backend server closes the connection may have run,
+    /// so that it could not be retried.
+    double idle_timeout_fraction = 0.6;
+    /// Fraction of a backend server's connection limit that all hosts together may use. The rest is
+    /// a reserve for hosts that have not discovered each other: a connection above the limit is
+    /// reset, and a request on it may have run.
+    double connection_limit_fraction = 0.8;
+    /// A connection on which sent bytes or keepalive probes stay unacknowledged for this long is
+    /// closed.
+    millis unacknowledged_timeout{2500};
 };
 
-/// Connections to backend servers, kept for further requests. A connection carries one request at a
-/// time; anything unexpected on it closes it, so that no bytes can pass for the next answer.
+/// Pool of persistent HTTP/1.1 connections to backend servers. A connection carries one request at
+/// a time and is closed on any unexpected input, so that stray bytes are never parsed as the
+/// response to the next request.
 class backend_pool final : public gateway::attempt_port {
 public:
-    /// `hosts`: how many share the backend servers' connection limits.
-    backend_pool(net::poller& on, gateway::scheduler& timers, clock_fn now,
-                 std::function<std::size_t()> hosts, backend_pool_settings settings);
+    /// `host_count` returns the number of hosts that share each backend server's connection limit.
+    backend_pool(net::poller& poller, gateway::scheduler& timers, clock_fn now,
+                 std::function<std::size_t()> host_count, backend_pool_settings settings);
     ~backend_pool() override;
     backend_pool(const backend_pool&) = delete;
     backend_pool& operator=(const backend_pool&) = delete;
@@ -44,37 +48,45 @@
     std::unique_ptr<gateway::attempt> start(const gateway::attempt_target& target, std::string head,
                                             std::string_view body, bool bodyless,
                                             gateway::attempt_events& events) override;
-    /// Closes the idle connections of an incarnation that has gone.
-    void forget(const std::string& backend);
-    /// An incarnation surely runs no more, though its connections may look whole behind a cut:
-    /// what is under way there ends now, as after a crash, and not when its silence is noticed.
-    void lost(const std::string& backend);
+    /// Closes the idle connections to a backend server incarnation that has left.
+    void close_idle(const std::string& backend);
+    /// Closes all connections to a backend server incarnation that is known to have ended. Requests
+    /// in flight fail at once, as after a crash: after a network partition the connections may look
+    /// open until `unacknowledged_timeout` expires.
+    void close_all(const std::string& backend);
 
-    [[nodiscard]] std::size_t idle() const noexcept;
-    [[nodiscard]] std::size_t busy() const noexcept { return busy_.size(); }
-    [[nodiscard]] std::uint64_t opened() const noexcept { return opened_; }
+    [[nodiscard]] std::size_t idle_connections() const noexcept;
+    [[nodiscard]] std::size_t busy_connections() const noexcept { return busy_.size(); }
+    /// Number of connections opened since construction.
+    [[nodiscard]] std::uint64_t opened_connections() const noexcept { return opened_; }
 
 private:
     class connection;
-    class running;
-    class no_attempt;
+    class pooled_attempt;
+    class rejected_attempt;
 
-    void finished(connection* it);
-    void drop(connection* it);
+    /// Moves a connection from the busy to the idle ones.
+    void make_idle(connection* conn);
+    /// Removes a connection from the pool and schedules its destruction.
+    void remove(connection* conn);
+    /// Takes the idle connection that was used last; null if there is none.
     std::unique_ptr<connection> take_idle(const std::string& backend);
-    [[nodiscard]] bool has_room(const gateway::attempt_target& target) const;
+    /// Whether a further connection stays within this host's share of the limit.
+    [[nodiscard]] bool has_capacity(const gateway::attempt_target& target) const;
 
     net::poller& poller_;
     gateway::scheduler& timers_;
     clock_fn now_;
-    std::function<std::size_t()> hosts_;
+    std::function<std::size_t()> host_count_;
     backend_pool_settings settings_;
-    /// Open connections by incarnation. Before the connections, which count themselves out.
-    std::map<std::string, std::size_t> count_;
-    std::map<std::string, std::deque<std::unique_ptr<connection>>> idle_; ///< by incarnation
+    /// Number of open connections by backend server incarnation. Declared before the connections,
+    /// whose destructors decrement it.
+    std::map<std::string, std::size_t> open_count_;
+    std::map<std::string, std::deque<std::unique_ptr<connection>>>
+        idle_; ///< by backend server incarnation
     std::map<connection*, std::unique_ptr<connection>> busy_;
-    std::vector<std::unique_ptr<connection>> dropped_; ///< freed at the next turn
-    std::uint64_t drop_timer_ = 0;
+    std::vector<std::unique_ptr<connection>> closed_; ///< destroyed in the next main loop iteration
+    std::uint64_t closed_timer_ = 0;
     std::uint64_t opened_ = 0;
 };
 
--- a/src/gateway/gateway_role.cpp
+++ b/src/gateway/gateway_role.cpp
@@ -162,12 +162,12 @@
     control_ = std::make_unique<control_plane>(env_, *mesh_, std::move(for_control));
     feed_hooks for_feed;
     for_feed.gone = [this](const std::string& backend) {
-        pool_.forget(backend);
+        pool_.close_idle(backend);
         balancer_.forget(backend);
         limits_.forget(backend);
     };
     for_feed.superseded = [this](const std::string& backend) {
-        pool_.lost(backend);
+        pool_.close_all(backend);
         balancer_.forget(backend);
         limits_.forget(backend);
     };
@@ -449,9 +449,9 @@
     to.set("requests_refused_as_crashing",
            static_cast<double>(std::count_if(suspects.begin(), suspects.end(),
                                              [](const auto& it) { return it.refused; })));
-    to.set("backend_connections{state=\"idle\"}", static_cast<double>(pool_.idle()));
-    to.set("backend_connections{state=\"busy\"}", static_cast<double>(pool_.busy()));
-    to.set("backend_connections_opened", static_cast<double>(pool_.opened()));
+    to.set("backend_connections{state=\"idle\"}", static_cast<double>(pool_.idle_connections()));
+    to.set("backend_connections{state=\"busy\"}", static_cast<double>(pool_.busy_connections()));
+    to.set("backend_connections_opened", static_cast<double>(pool_.opened_connections()));
     to.set("caller_connections", static_cast<double>(callers_server_->connections()));
     to.set("requests_in_flight", static_cast<double>(callers_server_->in_flight()));
     to.set("control_unsent_bytes", static_cast<double>(control_server_->unsent_bytes()));
