--- a/src/gateway/backend_feed.cpp
+++ b/src/gateway/backend_feed.cpp
@@ -9,41 +9,45 @@
 
 namespace {
 
-/// Period of attachments, relayed heartbeats and whole load reports.
-constexpr millis turn_period{100};
-/// Heartbeats without news are gathered for this many turns.
-constexpr std::uint64_t turns_per_touch = 5;
-constexpr millis expire_period{2000};
-/// Hosts with a disk that another host is attached to. With one, notices of backend servers that
-/// leave would be lost while it is replaced; they must reach all hosts within two seconds.
-constexpr std::size_t wanted_attachments = 2;
+/// Period at which attachments, relayed heartbeats and load reports are updated.
+constexpr millis tick_period{100};
+/// Heartbeats that change nothing but the sequence number are sent in batches, one in this many
+/// ticks.
+constexpr std::uint64_t ticks_per_touch_batch = 5;
+/// Period at which silent backend servers and old crash records are expired.
+constexpr millis expiry_period{2000};
+/// Number of core hosts that a host without a disk attaches to. With a single one, leave notices of
+/// backend servers would be lost while it is replaced; they must reach all hosts within 2 s.
+constexpr std::size_t attachments_per_host = 2;
 
 } // namespace
 
 backend_feed::backend_feed(runtime& env, peer_mesh& mesh, gateway::backend_directory& directory,
-                           gateway::crash_ledger& suspects, gateway::backend_limits& limits,
-                           gateway::load_balancer& balancer, bool has_disk, feed_hooks hooks)
-    : env_{env}, mesh_{mesh}, directory_{directory}, suspects_{suspects}, limits_{limits},
-      has_disk_{has_disk}, hooks_{std::move(hooks)}, relay_{has_disk}, loads_{env, mesh, balancer,
-                                                                              has_disk, around_}
+                           gateway::crash_ledger& crashes, gateway::backend_limits& limits,
+                           gateway::load_balancer& balancer, bool has_disk,
+                           backend_feed_hooks hooks)
+    : env_{env}, mesh_{mesh}, directory_{directory}, crashes_{crashes}, limits_{limits},
+      has_disk_{has_disk}, hooks_{std::move(hooks)},
+      heartbeat_relay_{has_disk}, loads_{env, mesh, balancer, has_disk, attachments_}
 {
 }
 
 void backend_feed::start()
 {
-    timer_ = net::timer::every(turn_period, [this] { tick(); });
+    timer_ = net::timer::every(tick_period, [this] { tick(); });
 }
 
-std::vector<node_id> backend_feed::targets(const node_id& from) const
+std::vector<node_id> backend_feed::broadcast_targets(const node_id& from) const
 {
     std::vector<node_id> out;
     if (!has_disk_) {
-        // Messages from other hosts came through the core, which has broadcast them.
-        return from == mesh_.self() ? around_.to_here : out;
+        // Messages from other hosts arrive through the core, which broadcasts them itself.
+        return from == mesh_.self() ? attachments_.to_here : out;
     }
     const bool from_core = from != mesh_.self() && mesh_.is_core(from);
     for (const auto& host : mesh_.linked()) {
-        const bool wanted = around_.from_here.contains(host) || (mesh_.is_core(host) && !from_core);
+        const bool wanted =
+            attachments_.from_here.contains(host) || (mesh_.is_core(host) && !from_core);
         if (wanted && host != from) {
             out.push_back(host);
         }
@@ -51,29 +55,29 @@
     return out;
 }
 
-void backend_feed::take_heartbeat(const gateway::backend_record& record)
+void backend_feed::on_heartbeat(const gateway::backend_record& record)
 {
     const auto change = directory_.take(record, env_.now());
-    drop_superseded();
+    handle_superseded();
     if (change != gateway::backend_directory::change::none) {
-        suspects_.heartbeat(record.id);
+        crashes_.heartbeat(record.id);
     }
     if (change == gateway::backend_directory::change::changed) {
-        apply(record);
-        spread(wire::backend_update{{wire::encode(record)}, {}}, mesh_.self());
+        on_record_changed(record);
+        broadcast(wire::backend_update{{wire::encode(record)}, {}}, mesh_.self());
     } else if (change == gateway::backend_directory::change::touched) {
-        relay_.took(record.id, record.sequence);
+        heartbeat_relay_.took(record.id, record.sequence);
     }
 }
 
-void backend_feed::spread_pins(std::vector<std::uint64_t> sessions)
+void backend_feed::broadcast_pinned_sessions(std::vector<std::uint64_t> sessions)
 {
     if (!sessions.empty()) {
-        spread(wire::session_pins{std::move(sessions)}, mesh_.self());
+        broadcast(wire::session_pins{std::move(sessions)}, mesh_.self());
     }
 }
 
-void backend_feed::apply(const gateway::backend_record& record)
+void backend_feed::on_record_changed(const gateway::backend_record& record)
 {
     const char* const state = record.state == gateway::backend_state::ready      ? "ready"
                               : record.state == gateway::backend_state::draining ? "draining"
@@ -81,64 +85,66 @@
     env_.log->info("backend server {} of {} at {} version {} is {}", record.id, record.service,
                    record.address, record.version, state);
     if (record.state == gateway::backend_state::gone) {
-        hooks_.gone(record.id);
+        hooks_.backend_gone(record.id);
     }
 }
 
-void backend_feed::drop_superseded()
+void backend_feed::handle_superseded()
 {
     for (const auto& id : directory_.take_superseded()) {
-        env_.log->info("backend server {} has started again: the start before is over", id);
-        hooks_.superseded(id);
+        env_.log->info("backend server {} has started again: its previous incarnation has ended",
+                       id);
+        hooks_.backend_superseded(id);
     }
 }
 
-void backend_feed::take_update(const node_id& from, const wire::backend_update& update)
+void backend_feed::on_update(const node_id& from, const wire::backend_update& update)
 {
     const instant now = env_.now();
-    wire::backend_update news;
+    wire::backend_update changed;
     for (const auto& bytes : update.records) {
         const auto record = wire::try_decode<gateway::backend_record>(bytes);
         if (!record) {
-            env_.log->error("record of a backend server from host {} cannot be read", from);
+            env_.log->error("cannot decode a backend server record from host {}", from);
             continue;
         }
         if (directory_.take(*record, now) == gateway::backend_directory::change::changed) {
-            apply(*record);
-            news.records.push_back(bytes);
+            on_record_changed(*record);
+            changed.records.push_back(bytes);
         }
     }
-    drop_superseded();
-    for (const auto& it : update.touches) {
-        const bool is_news = directory_.touch(it.id, it.sequence, now);
-        if (is_news) {
-            suspects_.heartbeat(it.id);
+    handle_superseded();
+    for (const auto& touch : update.touches) {
+        const bool is_new = directory_.touch(touch.id, touch.sequence, now);
+        if (is_new) {
+            crashes_.heartbeat(touch.id);
         }
-        relay_.heard(it.id, it.sequence, is_news);
+        heartbeat_relay_.heard(touch.id, touch.sequence, is_new);
     }
-    if (!news.records.empty()) {
-        spread(news, from);
+    if (!changed.records.empty()) {
+        broadcast(changed, from);
     }
 }
 
-void backend_feed::report_unresponsive(const std::string& backend)
+void backend_feed::report_probe_failure(const std::string& backend)
 {
-    const auto* const it = directory_.find(backend);
-    if (it != nullptr) {
-        take_probe_failure(mesh_.self(),
-                           {backend, it->record.sequence, env_.config.node.failure_domain});
+    const auto* const entry = directory_.find(backend);
+    if (entry != nullptr) {
+        on_probe_failure(mesh_.self(),
+                         {backend, entry->record.sequence, env_.config.node.failure_domain});
     }
 }
 
-void backend_feed::take_probe_failure(const node_id& from, const wire::probe_failure& failure)
+void backend_feed::on_probe_failure(const node_id& from, const wire::probe_failure& failure)
 {
-    // At most one for each failure domain goes on between two heartbeats of a backend server.
+    // Between two heartbeats of a backend server at most one failure per failure domain is passed
+    // on.
     if (!directory_.take_probe_failure(failure.id, failure.sequence, failure.failure_domain)) {
         return;
     }
     env_.log->info("backend server {} failed its liveness probe in {} after heartbeat {}",
                    failure.id, failure.failure_domain, failure.sequence);
-    spread(failure, from);
+    broadcast(failure, from);
 }
 
 wire::crash_row backend_feed::encode(const gateway::crash_fact& fact) const
@@ -166,48 +172,48 @@
             at(row.age_ms)};
 }
 
-void backend_feed::share(const gateway::crash_fact& fact)
+void backend_feed::broadcast_crash_fact(const gateway::crash_fact& fact)
 {
-    unshared_.rows.push_back(encode(fact));
-    if (!share_timer_.armed()) {
-        share_timer_ = net::timer::once(
-            millis{0}, [this] { spread(std::exchange(unshared_, {}), mesh_.self()); });
+    unsent_crash_facts_.rows.push_back(encode(fact));
+    if (!crash_fact_timer_.armed()) {
+        crash_fact_timer_ = net::timer::once(
+            millis{0}, [this] { broadcast(std::exchange(unsent_crash_facts_, {}), mesh_.self()); });
     }
 }
 
-void backend_feed::share(const gateway::limit_change& change)
+void backend_feed::broadcast_limit(const gateway::limit_change& change)
 {
-    spread(wire::backend_limit{change.backend, change.per_second}, mesh_.self());
+    broadcast(wire::backend_limit{change.backend, change.per_second}, mesh_.self());
 }
 
-void backend_feed::take_crash_facts(const node_id& from, const wire::crash_facts& facts)
+void backend_feed::on_crash_facts(const node_id& from, const wire::crash_facts& facts)
 {
-    wire::crash_facts news;
+    wire::crash_facts changed;
     for (const auto& row : facts.rows) {
-        if (suspects_.take(decode(row))) {
-            news.rows.push_back(row);
+        if (crashes_.take(decode(row))) {
+            changed.rows.push_back(row);
         }
     }
-    if (!news.rows.empty()) {
-        spread(news, from);
+    if (!changed.rows.empty()) {
+        broadcast(changed, from);
     }
 }
 
-void backend_feed::send_all(const node_id& to)
+void backend_feed::send_full_state(const node_id& to)
 {
-    wire::backend_update out;
-    for (const auto& it : directory_.all()) {
-        out.records.push_back(wire::encode(it));
+    wire::backend_update update;
+    for (const auto& record : directory_.all()) {
+        update.records.push_back(wire::encode(record));
     }
-    mesh_.send(to, out);
+    mesh_.send(to, update);
     wire::crash_facts facts;
-    for (const auto& it : suspects_.all()) {
-        facts.rows.push_back(encode(it));
+    for (const auto& fact : crashes_.all()) {
+        facts.rows.push_back(encode(fact));
     }
     if (!facts.rows.empty()) {
         mesh_.send(to, facts);
     }
-    if (auto sessions = hooks_.pinned(); !sessions.empty()) {
+    if (auto sessions = hooks_.pinned_sessions(); !sessions.empty()) {
         mesh_.send(to, wire::session_pins{std::move(sessions)});
     }
     for (const auto& [id, per_second] : limits_.all()) {
@@ -215,69 +221,70 @@
     }
 }
 
-std::vector<node_id> backend_feed::best_attachments() const
+std::vector<node_id> backend_feed::preferred_attachments() const
 {
-    // A host that is cut off from the others knows nothing new, though the link to it is up. Among
-    // the rest the own failure domain first, as bytes between domains are dear; then by hash, so
-    // that a lost host's share goes to all others.
+    // Hosts that have contact with the control log's leader come first: a host that is cut off from
+    // the others receives no updates, although the link to it is up. Then hosts in this host's
+    // failure domain, because traffic between domains is expensive. The hash distributes the
+    // attached hosts of a lost host over all others.
     using rank = std::tuple<bool, bool, std::uint64_t>;
-    std::vector<std::pair<rank, node_id>> found;
+    std::vector<std::pair<rank, node_id>> candidates;
     for (const auto& [host, domain] : mesh_.core()) {
         if (mesh_.link_to(host) != nullptr) {
-            found.push_back(
+            candidates.push_back(
                 {{hooks_.reaches_leader(host), domain == env_.config.node.failure_domain,
                   hash_bytes(host, hash_bytes(mesh_.self()))},
                  host});
         }
     }
-    std::sort(found.rbegin(), found.rend());
+    std::sort(candidates.rbegin(), candidates.rend());
     std::vector<node_id> out;
-    for (const auto& [order, host] : found) {
-        if (out.size() < wanted_attachments) {
+    for (const auto& [order, host] : candidates) {
+        if (out.size() < attachments_per_host) {
             out.push_back(host);
         }
     }
     return out;
 }
 
-void backend_feed::choose_attachments()
+void backend_feed::update_attachments()
 {
     if (has_disk_) {
         return;
     }
-    const auto best = best_attachments();
-    for (const auto& host : around_.to_here) {
-        if (std::find(best.begin(), best.end(), host) == best.end()) {
-            env_.log->info("no longer attached to host {}", host);
+    const auto preferred = preferred_attachments();
+    for (const auto& host : attachments_.to_here) {
+        if (std::find(preferred.begin(), preferred.end(), host) == preferred.end()) {
+            env_.log->info("detached from host {}", host);
             mesh_.send(host, wire::attach{false});
         }
     }
-    for (const auto& host : best) {
-        if (std::find(around_.to_here.begin(), around_.to_here.end(), host) ==
-            around_.to_here.end()) {
+    for (const auto& host : preferred) {
+        if (std::find(attachments_.to_here.begin(), attachments_.to_here.end(), host) ==
+            attachments_.to_here.end()) {
             env_.log->info("attached to host {}", host);
             mesh_.send(host, wire::attach{true});
-            send_all(host);
+            send_full_state(host);
         }
     }
-    around_.to_here = best;
+    attachments_.to_here = preferred;
     loads_.follow_attachments();
 }
 
 void backend_feed::on_link_up(const node_id& host)
 {
     if (has_disk_ && mesh_.is_core(host)) {
-        send_all(host);
+        send_full_state(host);
     }
-    choose_attachments();
+    update_attachments();
 }
 
 void backend_feed::on_link_down(const node_id& host)
 {
-    around_.from_here.erase(host);
+    attachments_.from_here.erase(host);
     loads_.on_host_gone(host);
-    std::erase(around_.to_here, host);
-    choose_attachments();
+    std::erase(attachments_.to_here, host);
+    update_attachments();
 }
 
 bool backend_feed::on_message(const node_id& from, wire::message_type type, std::string_view body)
@@ -285,45 +292,45 @@
     switch (type) {
     case wire::message_type::attach:
         if (const auto it = wire::try_decode<wire::attach>(body)) {
-            around_.from_here.erase(from);
+            attachments_.from_here.erase(from);
             loads_.on_host_gone(from);
             if (it->on) {
                 loads_.owe_whole(from);
-                around_.from_here.insert(from);
-                send_all(from);
+                attachments_.from_here.insert(from);
+                send_full_state(from);
             }
         }
         return true;
     case wire::message_type::backend_update:
         if (const auto it = wire::try_decode<wire::backend_update>(body)) {
-            take_update(from, *it);
+            on_update(from, *it);
         }
         return true;
     case wire::message_type::session_pins:
         if (const auto it = wire::try_decode<wire::session_pins>(body)) {
-            if (auto news = hooks_.pins(it->sessions); !news.empty()) {
-                spread(wire::session_pins{std::move(news)}, from);
+            if (auto pinned = hooks_.pin_sessions(it->sessions); !pinned.empty()) {
+                broadcast(wire::session_pins{std::move(pinned)}, from);
             }
         }
         return true;
     case wire::message_type::probe_failure:
         if (const auto it = wire::try_decode<wire::probe_failure>(body)) {
-            take_probe_failure(from, *it);
+            on_probe_failure(from, *it);
         }
         return true;
     case wire::message_type::crash_facts:
         if (const auto it = wire::try_decode<wire::crash_facts>(body)) {
-            take_crash_facts(from, *it);
+            on_crash_facts(from, *it);
         }
         return true;
     case wire::message_type::backend_limit:
         if (const auto it = wire::try_decode<wire::backend_limit>(body)) {
-            const auto taken = limits_.take(it->id, it->per_second);
-            if (taken.change) {
-                hooks_.limit_changed(*taken.change);
+            const auto update = limits_.take(it->id, it->per_second);
+            if (update.change) {
+                hooks_.limit_changed(*update.change);
             }
-            if (taken.is_news) {
-                spread(*it, from);
+            if (update.is_news) {
+                broadcast(*it, from);
             }
         }
         return true;
@@ -339,26 +346,28 @@
 
 void backend_feed::tick()
 {
-    choose_attachments();
-    if (++turn_ % turns_per_touch == 0) {
+    update_attachments();
+    if (++tick_count_ % ticks_per_touch_batch == 0) {
         wire::backend_update update;
-        for (const auto& [id, sequence] : relay_.take()) {
+        for (const auto& [id, sequence] : heartbeat_relay_.take()) {
             update.touches.push_back({id, sequence});
         }
-        // Touches of the core's own and of attached hosts are mixed here; a host that sent one gets
-        // it back, which changes nothing.
+        // The batch also goes to the hosts that sent these heartbeats; repeated ones have no
+        // effect.
         if (!update.touches.empty()) {
-            spread(update, mesh_.self());
+            broadcast(update, mesh_.self());
         }
     }
     loads_.tick();
-    if (const instant now = env_.now(); now >= expire_due_) {
-        expire_due_ = now + expire_period;
-        suspects_.expire();
-        for (const auto& it : directory_.expire(now)) {
-            env_.log->info("backend server {} {}", it.id,
-                           it.silent ? "is silent: used only where no other is left"
-                                     : "is heard of again");
+    if (const instant now = env_.now(); now >= next_expiry_) {
+        next_expiry_ = now + expiry_period;
+        crashes_.expire();
+        for (const auto& change : directory_.expire(now)) {
+            env_.log->info(
+                "backend server {} {}", change.id,
+                change.silent
+                    ? "is silent: it gets requests only if no other backend server is left"
+                    : "sends heartbeats again");
         }
     }
 }
--- a/src/gateway/control_calls.cpp
+++ b/src/gateway/control_calls.cpp
@@ -104,7 +104,7 @@
             refuse(*request.answer, status_unavailable, "no contact with the control log");
             return false;
         }
-        feed_.take_heartbeat(record);
+        feed_.on_heartbeat(record);
         answer(*request.answer, status_ok, "{}");
         return true;
     };
@@ -154,7 +154,7 @@
     }
     const auto taken = [&]() -> result<bool> {
         BOOST_LEAF_AUTO(record, platform::decode_leaving(name, request.body));
-        feed_.take_heartbeat(record);
+        feed_.on_heartbeat(record);
         answer(*request.answer, status_ok, "{}");
         return true;
     };
--- a/src/gateway/gateway_role.cpp
+++ b/src/gateway/gateway_role.cpp
@@ -63,10 +63,10 @@
                 timers_,
                 env.now,
                 platform::encode_liveness_probe,
-                [this](const std::string& backend) { feed_->report_unresponsive(backend); }},
+                [this](const std::string& backend) { feed_->report_probe_failure(backend); }},
       suspects_{{},
                 env.now,
-                [this](const gateway::crash_fact& it) { feed_->share(it); },
+                [this](const gateway::crash_fact& it) { feed_->broadcast_crash_fact(it); },
                 [this](std::string_view backend, std::size_t requests) {
                     journal_.crash_refuted(backend, requests);
                 }},
@@ -93,7 +93,7 @@
               [this] { return control_->hosts(); },
               [this](const gateway::limit_change& it) {
                   journal_.limit_changed(it);
-                  feed_->share(it);
+                  feed_->broadcast_limit(it);
               },
               [this](const std::string& backend) {
                   env_.log->warn("backend server {} names a limit that cannot be read: ignored",
@@ -160,13 +160,13 @@
     for_control.changed = [this](const gateway::site_state& state) { take_state(state); };
     for_control.synced = [this] { release_callers(); };
     control_ = std::make_unique<control_plane>(env_, *mesh_, std::move(for_control));
-    feed_hooks for_feed;
-    for_feed.gone = [this](const std::string& backend) {
+    backend_feed_hooks for_feed;
+    for_feed.backend_gone = [this](const std::string& backend) {
         pool_.close_idle(backend);
         balancer_.forget(backend);
         limits_.forget(backend);
     };
-    for_feed.superseded = [this](const std::string& backend) {
+    for_feed.backend_superseded = [this](const std::string& backend) {
         pool_.close_all(backend);
         balancer_.forget(backend);
         limits_.forget(backend);
@@ -174,10 +174,10 @@
     for_feed.reaches_leader = [this](const node_id& host) {
         return control_->reaches_leader(host);
     };
-    for_feed.pins = [this](const std::vector<std::uint64_t>& sessions) {
+    for_feed.pin_sessions = [this](const std::vector<std::uint64_t>& sessions) {
         return rollouts_.pin(sessions, env_.now());
     };
-    for_feed.pinned = [this] { return rollouts_.pinned_sessions(env_.now()); };
+    for_feed.pinned_sessions = [this] { return rollouts_.pinned_sessions(env_.now()); };
     for_feed.limit_changed = [this](const gateway::limit_change& it) {
         journal_.limit_changed(it);
     };
@@ -312,7 +312,7 @@
 {
     rollouts_.set_versions(state.versions);
     rollouts_.follow(state.rollouts, env_.now());
-    feed_->spread_pins(rollouts_.take_pinned(env_.now()));
+    feed_->broadcast_pinned_sessions(rollouts_.take_pinned(env_.now()));
     if (state.config_packed.empty() ||
         (table_ && state.config_version <= table_->config().version)) {
         return;
@@ -372,7 +372,7 @@
 void gateway_role::tick()
 {
     name_incumbents();
-    feed_->spread_pins(rollouts_.take_pinned(env_.now()));
+    feed_->broadcast_pinned_sessions(rollouts_.take_pinned(env_.now()));
     control_->take_versions(rollouts_.take_report());
     release_callers();
     if (ready() != was_ready_) {
