--- a/src/gateway/gateway_role.h
+++ b/src/gateway/gateway_role.h
@@ -15,10 +15,11 @@
 
 namespace hickorypost {
 
-/// A gateway host: takes callers' requests and sends them straight to backend servers, takes
-/// operators' calls and backend servers' heartbeats, and takes part in the control log.
+/// The role of a gateway host. Forwards callers' requests to backend servers, handles operators'
+/// calls and backend servers' heartbeats, and replicates the control log.
 class gateway_role final : public role {
 public:
+    /// Opens all listeners and starts the host. Fails with `net::listen_error`.
     static result<std::unique_ptr<gateway_role>> start(runtime& env);
     ~gateway_role() override;
     gateway_role(const gateway_role&) = delete;
@@ -28,7 +29,7 @@
     void reload(const settings& config) override;
 
 private:
-    /// Timers of the main context, as the flow's port.
+    /// Implements the exchange's scheduler with timers of the main context.
     class timers_port final : public gateway::scheduler {
     public:
         explicit timers_port(clock_fn now) : queue_{std::move(now)} {}
@@ -44,26 +45,32 @@
 
     explicit gateway_role(runtime& env);
     result<void> open();
-    result<std::unique_ptr<caller_server>> serve(const net::peer_address& at,
-                                                 caller_server::options how);
-    /// There is a configuration, and it is the newest as far as could be asked.
+    /// Listens on `address`. Fails with `net::listen_error`.
+    result<std::unique_ptr<caller_server>> serve(const net::peer_address& address,
+                                                 caller_server::options options);
+    /// Whether this host has a configuration that was confirmed as the newest, or that no leader
+    /// could confirm in time.
     [[nodiscard]] bool can_serve() const;
+    /// Result of the readiness probe.
     [[nodiscard]] bool ready() const;
-    void release_callers();
+    /// Handles the requests that were held until `can_serve`.
+    void release_held_requests();
     std::unique_ptr<gateway::exchange> handle_caller(incoming_request request);
+    /// Logs the rejection and responds with `status`; returns null.
     std::unique_ptr<gateway::exchange> reject(const incoming_request& request,
                                               const gateway::caller_request& decoded,
-                                              unsigned status, std::string_view why);
+                                              unsigned status, std::string_view reason);
     void handle_ready(const incoming_request& request) const;
     void handle_metrics(const incoming_request& request);
-    void take_state(const gateway::site_state& state);
-    /// Whether a backend server was to end: it drains, has left, or its version is retired.
-    [[nodiscard]] bool end_expected(const gateway::attempt_target& target) const;
-    /// Where this host leads: has the control log name the incumbents of services without one.
-    void name_incumbents();
+    void on_state_changed(const gateway::site_state& state);
+    /// Whether the backend server is expected to end: it is draining or has left, or a completed
+    /// roll-out has replaced its version.
+    [[nodiscard]] bool shutdown_expected(const gateway::attempt_target& target) const;
+    /// On the control log's leader: commits an incumbent version for each service without one.
+    void propose_incumbents();
     void tick();
     void drain_step(const std::function<void()>& done);
-    void collect_metrics(telemetry::metrics& to) const;
+    void collect_metrics(telemetry::metrics& metrics) const;
 
     runtime& env_;
     const gateway_settings& config_;
@@ -72,33 +79,33 @@
     gateway::backend_directory directory_;
     gateway::load_balancer balancer_;
     gateway::rollout_view rollouts_;
-    gateway::model_choice models_;
-    std::map<std::string, gateway::retry_window> windows_;
+    gateway::model_choice model_choice_;
+    std::map<std::string, gateway::retry_window> retry_windows_;
     backend_pool pool_;
     gateway::liveness_probe liveness_;
-    gateway::crash_ledger suspects_;
-    gateway::crash_watch crashes_;
+    gateway::crash_ledger crash_ledger_;
+    gateway::crash_watch crash_watch_;
     gateway::backend_limits limits_;
     request_journal journal_;
     gateway::exchange_services services_;
     std::unique_ptr<peer_mesh> mesh_;
     std::unique_ptr<control_plane> control_;
-    std::unique_ptr<backend_feed> feed_;
-    std::unique_ptr<limit_feed> permits_;
-    std::unique_ptr<control_calls> calls_;
-    gateway::route_table_ptr table_;
+    std::unique_ptr<backend_feed> backend_feed_;
+    std::unique_ptr<limit_feed> limit_feed_;
+    std::unique_ptr<control_calls> control_calls_;
+    gateway::route_table_ptr route_table_;
     std::unique_ptr<caller_server> callers_server_;
     std::unique_ptr<caller_server> ready_server_;
     std::unique_ptr<caller_server> control_server_;
     std::unique_ptr<caller_server> metrics_server_;
     net::timer tick_timer_;
     net::timer drain_timer_;
-    std::uint64_t turn_ = 0;
+    std::uint64_t tick_count_ = 0;
     bool could_serve_ = false;
     bool was_ready_ = false;
     bool draining_ = false;
     instant drain_began_;
-    bool finishing_control_ = false; ///< only answers on the control port are left
+    bool awaiting_control_responses_ = false; ///< all callers are done, control calls are not
 };
 
 } // namespace hickorypost
