--- a/src/gateway/control_plane.cpp
+++ b/src/gateway/control_plane.cpp
@@ -10,46 +10,52 @@
 
 namespace {
 
-/// Turn of the control plane: election timeouts are resolved to it.
+/// Period of the control plane's timer, and so the resolution of election timeouts.
 constexpr millis tick_period{50};
-/// The leader's heartbeat and the silence after which another is elected. A change must be in force
-/// everywhere two seconds after it was accepted, also if its leader fails just then; a slowed host
-/// must not lose leadership over a pause of some hundred milliseconds.
+/// Heartbeat period of the control log's leader, and the range of the randomized election timeout.
+/// An accepted change must be in force on all hosts within 2 s, even if the leader fails right
+/// after accepting it. However, a pause of a few hundred milliseconds on a slow host must
+/// not cost it leadership.
 constexpr millis replog_heartbeat{120};
 constexpr millis election_min{600};
 constexpr millis election_max{1100};
-/// A silent voter's place goes to a spare host after this long: two lost hosts in a row must meet a
-/// full group, and the platform lets a second one be lost four seconds after the first.
-constexpr millis voter_silence{1800};
-/// Entries kept in memory and applied between snapshots. A configuration may have tens of
-/// kilobytes.
+/// A voter that is silent for this long is replaced by another host with a disk. The group must be
+/// complete again before the next host fails; the platform allows a second failure 4 s after the
+/// first.
+constexpr millis voter_replacement_timeout{1800};
+/// Log entries that stay in memory after a snapshot. Kept low because one entry may hold a
+/// configuration of tens of kilobytes.
 constexpr std::size_t retained_entries = 64;
+/// Number of applied entries between two snapshots.
 constexpr std::uint64_t snapshot_every = 64;
+/// Period of core notes, which tell other hosts the leader, the newest revision and the core hosts.
 constexpr millis note_period{1000};
-/// The same state is asked for again after this long: its answer was lost with a link, or its
-/// sender does not have it any more. Asked for at each host's note, it would come several times
-/// over.
-constexpr millis query_period{400};
-/// With nobody to ask, a host serves with what it knows after this long: requests must not stop for
-/// a control log that has lost its quorum.
-constexpr millis ask_limit{4000};
+/// A revision is queried again after this long, because the response may have been lost with a link
+/// or the queried host may have lost the state. A query for each received note would transfer the
+/// same state several times.
+constexpr millis query_retry_period{400};
+/// A host whose state no leader confirms for this long after the start serves with the state that
+/// it has: the loss of the control log's quorum must not stop requests.
+constexpr millis sync_timeout{4000};
+/// Delay before a data directory that failed is opened again.
 constexpr millis reopen_delay{500};
-/// A founder waits this long for as many disks as the tolerated losses need, then takes what is
-/// there.
-constexpr millis founding_patience{6000};
-/// A host that was started again before any founding waits for signs of a group first.
-constexpr millis refounding_wait{3000};
+/// The founder of a new replication group waits this long for as many hosts with a disk as the
+/// configured failure tolerance requires, then founds the group with those that are present.
+constexpr millis founding_timeout{6000};
+/// A restarted host without a replica waits this long for an existing group to contact it before it
+/// may found a new one.
+constexpr millis restart_founding_delay{3000};
 
 } // namespace
 
 control_plane::control_plane(runtime& env, peer_mesh& mesh, control_hooks hooks)
     : env_{env}, config_{*env.config.gateway}, mesh_{mesh}, hooks_{std::move(hooks)},
       now_{boot_clock_fn()}, context_{g_main_context_default()},
-      judge_{config_.decisions.judge, [this](const gateway::rollout_status& step) {
+      judge_{config_.decisions.judge, [this](const gateway::rollout_status& next) {
                  env_.log->info("roll-out of {} to {}: share {} permille, phase {}, {}",
-                                step.service, step.target, step.share_permille,
-                                static_cast<int>(step.phase), step.reason);
-                 commit({gateway::control_kind::step_rollout, 0, {}, step},
+                                next.service, next.target, next.share_permille,
+                                static_cast<int>(next.phase), next.reason);
+                 commit({gateway::control_kind::step_rollout, 0, {}, next},
                         [](order_status, const gateway::site_state*) {});
              }}
 {
@@ -62,17 +68,17 @@
 
 void control_plane::start()
 {
-    began_ = now_();
+    started_ = now_();
     if (!config_.data.empty()) {
         open_disk();
     }
     tick_timer_ = net::timer::every(tick_period, [this] { tick(); });
-    ask_newest();
+    sync_state();
 }
 
 void control_plane::open_disk()
 {
-    const bool good = value_or_handle<storage::storage_error>(
+    const bool opened = value_or_handle<storage::storage_error>(
         [&]() -> result<bool> {
             BOOST_LEAF_ASSIGN(fs_, storage::posix_file_system::open(config_.data));
             BOOST_LEAF_AUTO(
@@ -85,11 +91,13 @@
             options.vote_at_start = true;
             options.voters = 2 * config_.tolerated_losses + 1;
             options.admit_any_host = true;
-            options.replace_silent_after = voter_silence;
+            options.replace_silent_after = voter_replacement_timeout;
             auto core = std::make_unique<replog::replica>(
                 store->take_recovered(), std::vector<node_id>{}, options, env_.random, now_());
-            const std::uint64_t life = ++disk_life_;
-            const auto current = [this, life] { return life == disk_life_ && group_ != nullptr; };
+            const std::uint64_t generation = ++disk_generation_;
+            const auto current = [this, generation] {
+                return generation == disk_generation_ && group_ != nullptr;
+            };
             auto on_done = [this, current](std::uint64_t ticket) {
                 net::post(context_, [this, current, ticket] {
                     if (current()) {
@@ -104,14 +112,14 @@
                     }
                 });
             };
-            disk_ = std::make_unique<replog::sync_task>(std::move(store), std::move(on_done),
-                                                        std::move(on_error));
+            sync_task_ = std::make_unique<replog::sync_task>(std::move(store), std::move(on_done),
+                                                             std::move(on_error));
             replog::group_hooks hooks;
             hooks.send = [this](const node_id& to, const replog::message& msg) {
                 send_replog(to, msg);
             };
             hooks.persist = [this](replog::persist_batch batch) {
-                disk_->submit(std::move(batch));
+                sync_task_->submit(std::move(batch));
             };
             hooks.applied = [](const replog::entry&) {};
             group_ = std::make_unique<replog::group>(
@@ -120,33 +128,34 @@
             return true;
         },
         [&](const storage::storage_error& error) {
-            env_.log->error("data folder cannot be used: {}", storage::describe(error));
+            env_.log->error("cannot open the data directory: {}", storage::describe(error));
             return false;
         });
-    if (!good) {
+    if (!opened) {
         group_.reset();
-        disk_.reset();
+        sync_task_.reset();
         fs_.reset();
-        reopen_due_ = now_() + reopen_delay;
+        next_reopen_ = now_() + reopen_delay;
         return;
     }
-    env_.log->info("data folder open: replica {} of the control log, log to {}",
+    env_.log->info("data directory open: control log replica is {}, last index {}",
                    group_->core().role() == replog::replica_role::fresh ? "fresh" : "member",
                    group_->core().last_index());
-    note_applied();
+    follow_replica();
 }
 
-void control_plane::close_disk(std::string_view why)
+void control_plane::close_disk(std::string_view reason)
 {
-    // What the disk holds is unknown. The replica ends here as in a crash, which takes leadership
-    // from a host that can make nothing durable, and begins anew from what can be read back.
-    env_.log->error("data folder lost: {}", why);
-    ++disk_life_;
+    // After a write error the contents of the disk are unknown. The replica ends as in a crash, so
+    // that a host that cannot make entries durable loses leadership, and restarts later from the
+    // entries that can be read back.
+    env_.log->error("data directory failed: {}", reason);
+    ++disk_generation_;
     group_.reset();
-    disk_.reset();
+    sync_task_.reset();
     fs_.reset();
     leader_.clear();
-    reopen_due_ = now_() + reopen_delay;
+    next_reopen_ = now_() + reopen_delay;
 }
 
 void control_plane::send_replog(const node_id& to, const replog::message& msg)
@@ -172,7 +181,7 @@
 
 bool control_plane::starting() const
 {
-    return now_() < began_ + ask_limit;
+    return now_() < started_ + sync_timeout;
 }
 
 bool control_plane::reaches_leader(const node_id& host) const
@@ -181,19 +190,19 @@
     return it != notes_.end() && !it->second.leader.empty();
 }
 
-std::size_t control_plane::hosts() const noexcept
+std::size_t control_plane::host_count() const noexcept
 {
-    return std::max(hosts_told_, mesh_.linked().size() + 1);
+    return std::max(reported_hosts_, mesh_.linked().size() + 1);
 }
 
-void control_plane::note_applied()
+void control_plane::follow_replica()
 {
     if (!group_) {
         return;
     }
     const auto& machine = static_cast<const gateway::control_state&>(group_->machine());
     if (machine.state().revision > state_.revision) {
-        adopt(machine.state());
+        update_state(machine.state());
     }
     if (!group_->core().leader().empty() || leader_term_ < group_->core().term()) {
         if (leader_ != group_->core().leader()) {
@@ -207,18 +216,18 @@
     }
 }
 
-void control_plane::adopt(gateway::site_state state)
+void control_plane::update_state(gateway::site_state state)
 {
     if (state.revision <= state_.revision) {
         return;
     }
     state_ = std::move(state);
     judge_.follow(state_.rollouts, now_());
-    hooks_.changed(state_);
+    hooks_.state_changed(state_);
     send_notes();
 }
 
-void control_plane::consider_founding()
+void control_plane::found_group_if_due()
 {
     auto& core = group_->core();
     if (core.role() != replog::replica_role::fresh) {
@@ -228,11 +237,11 @@
         core.add_contact(host);
     }
     const instant now = now_();
-    if (core.group_exists() || (!config_.first_start && now < began_ + refounding_wait)) {
+    if (core.group_exists() || (!config_.first_start && now < started_ + restart_founding_delay)) {
         return;
     }
-    // The first seed with a disk founds. Whether a seed has one never changes, so no two hosts can
-    // take themselves for the founder.
+    // The founder is the first seed that has a disk. Whether a seed has one never changes, so at
+    // most one host considers itself the founder.
     node_id founder;
     for (const auto& seed : config_.seeds) {
         if (mesh_.is_core(seed)) {
@@ -240,7 +249,7 @@
             break;
         }
         if (mesh_.link_to(seed) == nullptr) {
-            return; // it may have a disk
+            return; // not connected yet; this seed may have a disk
         }
     }
     if (founder.empty()) {
@@ -249,17 +258,18 @@
     if (founder != mesh_.self()) {
         return;
     }
-    const std::size_t wanted = 2 * config_.tolerated_losses + 1;
-    if (mesh_.core().size() < wanted && now < began_ + founding_patience) {
+    const std::size_t voters = 2 * config_.tolerated_losses + 1;
+    if (mesh_.core().size() < voters && now < started_ + founding_timeout) {
         return;
     }
     std::vector<node_id> founders{mesh_.self()};
     std::set<std::string> domains{env_.config.node.failure_domain};
+    // Voters are first chosen from distinct failure domains, then from any.
     for (const bool new_domains : {true, false}) {
         for (const auto& [host, domain] : mesh_.core()) {
-            const bool taken = std::find(founders.begin(), founders.end(), host) != founders.end();
+            const bool chosen = std::find(founders.begin(), founders.end(), host) != founders.end();
             const bool fits = !new_domains || !domains.contains(domain);
-            if (founders.size() < wanted && !taken && fits) {
+            if (founders.size() < voters && !chosen && fits) {
                 founders.push_back(host);
                 domains.insert(domain);
             }
@@ -271,33 +281,33 @@
 void control_plane::tick()
 {
     const instant now = now_();
-    if (!group_ && !config_.data.empty() && now >= reopen_due_) {
+    if (!group_ && !config_.data.empty() && now >= next_reopen_) {
         open_disk();
     }
     if (group_) {
-        consider_founding();
+        found_group_if_due();
         group_->tick(now);
-        note_applied();
-        const bool judging = leads();
-        if (judging && !std::exchange(judging_, judging)) {
+        follow_replica();
+        const bool leading = leads();
+        if (leading && !std::exchange(was_leading_, leading)) {
             judge_.follow(state_.rollouts, now);
         }
-        judging_ = judging;
-        if (judging) {
+        was_leading_ = leading;
+        if (leading) {
             judge_.tick(now);
         }
-        if (now >= note_due_ || noted_revision_ != state_.revision || noted_leader_ != leader_) {
+        if (now >= next_note_ || noted_revision_ != state_.revision || noted_leader_ != leader_) {
             send_notes();
         }
     }
     retry_orders();
-    if (!synced_ && now > began_ + ask_limit && state_.revision > 0) {
-        env_.log->warn("nobody confirms the newest state: serving with revision {}",
+    if (!synced_ && now > started_ + sync_timeout && state_.revision > 0) {
+        env_.log->warn("no leader has confirmed the newest state: serving with revision {}",
                        state_.revision);
-        become_synced();
+        set_synced();
     }
-    if (!synced_ && !asking_newest_) {
-        ask_newest();
+    if (!synced_ && !sync_pending_) {
+        sync_state();
     }
 }
 
@@ -321,23 +331,23 @@
 
 void control_plane::send_notes()
 {
-    note_due_ = now_() + note_period;
+    next_note_ = now_() + note_period;
     noted_revision_ = state_.revision;
     noted_leader_ = leader_;
     if (config_.data.empty()) {
         return;
     }
-    const auto it = note();
+    const auto message = note();
     for (const auto& host : mesh_.linked()) {
-        mesh_.send(host, it);
+        mesh_.send(host, message);
     }
 }
 
 void control_plane::handle_note(const node_id& from, const wire::core_note& msg)
 {
     bool learned = false;
-    for (const auto& it : msg.core) {
-        learned = mesh_.learn_core(it) || learned;
+    for (const auto& host : msg.core) {
+        learned = mesh_.learn_core(host) || learned;
     }
     if (learned) {
         send_notes();
@@ -347,9 +357,9 @@
     }
     notes_[from] = msg;
     if (group_) {
-        return; // the log itself tells the rest
+        return; // the local replica provides leader and state
     }
-    hosts_told_ = msg.hosts;
+    reported_hosts_ = msg.hosts;
     if (!msg.leader.empty() && msg.term >= leader_term_) {
         if (leader_ != msg.leader) {
             env_.log->info("leader of the control log in term {}: {}", msg.term, msg.leader);
@@ -359,8 +369,8 @@
     }
     const instant now = now_();
     if (msg.revision > std::max(state_.revision, queried_revision_) ||
-        (msg.revision > state_.revision && now > query_due_)) {
-        query_due_ = now + query_period;
+        (msg.revision > state_.revision && now > next_query_)) {
+        next_query_ = now + query_retry_period;
         queried_revision_ = msg.revision;
         mesh_.send(from, wire::site_query{state_.revision});
     }
@@ -384,7 +394,7 @@
         if (const auto it = wire::try_decode<wire::replog_envelope>(body); it && group_) {
             if (const auto msg = wire::try_decode<replog::message>(it->payload)) {
                 group_->receive(*msg, now_());
-                note_applied();
+                follow_replica();
             }
         }
         return true;
@@ -402,7 +412,7 @@
     case wire::message_type::site_update:
         if (const auto it = wire::try_decode<wire::site_update>(body)) {
             if (auto state = wire::try_decode<gateway::site_state>(it->state)) {
-                adopt(std::move(*state));
+                update_state(std::move(*state));
             }
         }
         return true;
@@ -429,24 +439,24 @@
     }
 }
 
-void control_plane::take_versions(const std::vector<gateway::rollout_view::report_row>& rows)
+void control_plane::report_versions(const std::vector<gateway::rollout_view::report_row>& rows)
 {
     if (rows.empty()) {
         return;
     }
     if (leads()) {
-        for (const auto& it : rows) {
-            judge_.take(it, now_());
+        for (const auto& row : rows) {
+            judge_.take(row, now_());
         }
         return;
     }
     wire::version_report out;
-    for (const auto& it : rows) {
-        out.rows.push_back(
-            {it.service, it.version, it.seen.answers, it.seen.bad, it.seen.paced, it.seen.slow});
+    for (const auto& row : rows) {
+        out.rows.push_back({row.service, row.version, row.seen.answers, row.seen.bad,
+                            row.seen.paced, row.seen.slow});
     }
     if (leader_.empty() || !mesh_.send(leader_, out)) {
-        env_.log->warn("evidence of {} versions lost: no leader is known", rows.size());
+        env_.log->warn("report on {} versions dropped: no leader is reachable", rows.size());
     }
 }
 
--- a/src/gateway/control_plane.h
+++ b/src/gateway/control_plane.h
@@ -14,18 +14,22 @@
 
 namespace hickorypost {
 
+/// Callbacks of `control_plane`.
 struct control_hooks {
-    /// The state has changed; its revision only rises within a process.
-    std::function<void(const gateway::site_state&)> changed;
-    /// `synced` has become true.
+    /// The state has changed. Its revision never decreases within a process.
+    std::function<void(const gateway::site_state&)> state_changed;
+    /// `synced()` has become true.
     std::function<void()> synced;
 };
 
-/// One gateway host's part of the control log: a replica of it where there is a disk, and on all
-/// hosts the orders to the leader and the newest state known.
+/// Access to the control log, which replicates configurations and roll-outs. A host with a disk
+/// holds a replica; all hosts send orders (commands and reads) to the leader and keep the newest
+/// state they have received.
 class control_plane {
 public:
+    /// `unavailable`: no leader has confirmed the order in time. A command may still take effect.
     enum class order_status : std::uint8_t { done, unavailable };
+    /// `state` is set only for a read that is done.
     using order_fn = std::function<void(order_status, const gateway::site_state* state)>;
 
     control_plane(runtime& env, peer_mesh& mesh, control_hooks hooks);
@@ -33,34 +37,40 @@
     control_plane(const control_plane&) = delete;
     control_plane& operator=(const control_plane&) = delete;
 
-    /// Opens the disk, if there is one, and starts to ask for the newest state.
+    /// Opens the replica, if this host has a disk, and requests the newest state from the leader.
     void start();
 
-    /// Commits a command; `done` means that it is synced on a quorum.
+    /// Commits a command. `order_status::done` means that it is durable on a quorum.
     void commit(const gateway::control_command& command, order_fn done);
-    /// The newest state: a quorum has confirmed it after the call.
+    /// Reads the newest state (linearizable): a quorum confirms it after the call.
     void read_newest(order_fn done);
 
     void on_link_up(const node_id& host);
     void on_link_down(const node_id& host);
-    /// False: not a message for the control plane.
+    /// Returns false if the message type is not handled here.
     bool on_message(const node_id& from, wire::message_type type, std::string_view body);
-    void take_versions(const std::vector<gateway::rollout_view::report_row>& rows);
-    /// Gives leadership away before the process ends.
+    /// Reports to the leader how versions under roll-out have answered since the last call.
+    void report_versions(const std::vector<gateway::rollout_view::report_row>& rows);
+    /// Transfers leadership to another replica before the process ends.
     void hand_over();
 
     [[nodiscard]] const gateway::site_state& state() const noexcept { return state_; }
-    /// The state was confirmed after this process began, or nobody could be asked for long.
+    /// Whether a leader has confirmed the state since this process started, or the wait for a
+    /// confirmation has timed out.
     [[nodiscard]] bool synced() const noexcept { return synced_; }
-    /// So short after the start that contact may not be there yet.
+    /// Whether this process started so recently that links may not be established yet.
     [[nodiscard]] bool starting() const;
-    /// In contact with the core: what this host receives reaches the others.
+    /// Whether this host leads or has a link to the leader, so that its broadcasts reach all hosts.
     [[nodiscard]] bool connected() const;
-    [[nodiscard]] std::size_t hosts() const noexcept;
-    /// Whether a host with a disk said lately that it knows the leader.
+    /// Number of gateway hosts, this one included.
+    [[nodiscard]] std::size_t host_count() const noexcept;
+    /// Whether the last note of a core host named a leader.
     [[nodiscard]] bool reaches_leader(const node_id& host) const;
+    /// The local replica; null on a host without a disk or while the disk is not usable.
     [[nodiscard]] const replog::group* group() const noexcept { return group_.get(); }
+    /// The leader as far as known; empty if unknown.
     [[nodiscard]] const node_id& leader() const noexcept { return leader_; }
+    /// Whether the local replica leads the control log.
     [[nodiscard]] bool leads() const;
 
 private:
@@ -70,26 +80,30 @@
         gateway::order_progress progress;
     };
 
-    // The replica on this host's disk.
+    // Local replica.
     void open_disk();
-    void close_disk(std::string_view why);
+    void close_disk(std::string_view reason);
     void send_replog(const node_id& to, const replog::message& msg);
-    void note_applied();
-    void consider_founding();
+    /// Takes over leader and state from the local replica.
+    void follow_replica();
+    /// Founds the replication group if this host has to.
+    void found_group_if_due();
     void tick();
 
     // Orders.
     void submit(wire::order_kind kind, std::string command, order_fn done);
-    void send_order(pending_order& it);
+    void send_order(pending_order& order);
     void retry_orders();
     void handle_order(const node_id& from, const wire::order& msg);
     void handle_reply(const wire::order_reply& msg);
-    void run_here(wire::order_kind kind, std::string command, replog::group::answer_fn done);
-    void ask_newest();
-    void become_synced();
+    /// Runs an order on the local replica, which leads.
+    void execute(wire::order_kind kind, std::string command, replog::group::answer_fn done);
+    /// Requests the newest state and sets `synced_` once it is confirmed.
+    void sync_state();
+    void set_synced();
 
     // State.
-    void adopt(gateway::site_state state);
+    void update_state(gateway::site_state state);
     void send_notes();
     void send_note(const node_id& to);
     void handle_note(const node_id& from, const wire::core_note& msg);
@@ -99,31 +113,31 @@
     const gateway_settings& config_;
     peer_mesh& mesh_;
     control_hooks hooks_;
-    clock_fn now_; ///< counts time in which the machine was suspended
+    clock_fn now_; ///< includes time in which the machine was suspended
     GMainContext* context_;
 
     std::unique_ptr<storage::posix_file_system> fs_;
-    std::unique_ptr<replog::sync_task> disk_;
+    std::unique_ptr<replog::sync_task> sync_task_;
     std::unique_ptr<replog::group> group_;
-    std::uint64_t disk_life_ = 0; ///< distinguishes completions of earlier openings
-    instant reopen_due_;
+    std::uint64_t disk_generation_ = 0; ///< tells completions of earlier openings of the disk apart
+    instant next_reopen_;
 
     gateway::site_state state_;
     gateway::rollout_judge judge_;
-    bool judging_ = false;
+    bool was_leading_ = false; ///< in the last tick
     bool synced_ = false;
-    bool asking_newest_ = false;
-    instant began_;
-    instant note_due_;
+    bool sync_pending_ = false;
+    instant started_;
+    instant next_note_;
     std::uint64_t noted_revision_ = 0;
     node_id noted_leader_;
 
     node_id leader_;
     std::uint64_t leader_term_ = 0;
-    std::map<node_id, wire::core_note> notes_;
-    std::size_t hosts_told_ = 1;
-    instant query_due_;
-    std::uint64_t queried_revision_ = 0; ///< the highest that was asked for
+    std::map<node_id, wire::core_note> notes_; ///< last note of each linked core host
+    std::size_t reported_hosts_ = 1;           ///< from the last note of a core host
+    instant next_query_;
+    std::uint64_t queried_revision_ = 0; ///< highest revision that was queried
 
     std::map<std::uint64_t, pending_order> orders_;
     std::uint64_t next_order_ = 1;
--- a/src/gateway/gateway_role.cpp
+++ b/src/gateway/gateway_role.cpp
@@ -63,7 +63,7 @@
       model_choice_{config_.decisions.models}, pool_{poller_,
                                                      timers_,
                                                      env.now,
-                                                     [this] { return control_->hosts(); },
+                                                     [this] { return control_->host_count(); },
                                                      {}},
       liveness_{
           {},
@@ -100,7 +100,7 @@
           }},
       limits_{{},
               env.now,
-              [this] { return control_->hosts(); },
+              [this] { return control_->host_count(); },
               [this](const gateway::limit_change& change) {
                   journal_.limit_changed(change);
                   backend_feed_->broadcast_limit(change);
@@ -128,7 +128,7 @@
                 {.window = config_.retry_window,
                  .ratio = config_.retry_ratio,
                  .slack = config_.retry_slack},
-                [this] { return control_->hosts(); },
+                [this] { return control_->host_count(); },
                 platform::encode_request,
                 platform::decode_answer,
                 [this](const gateway::exchange_record& record) { journal_.finished(record); },
@@ -168,7 +168,9 @@
     };
     BOOST_LEAF_ASSIGN(mesh_, peer_mesh::open(env_, config_.internal, has_disk, std::move(hooks)));
     control_hooks plane_hooks;
-    plane_hooks.changed = [this](const gateway::site_state& state) { on_state_changed(state); };
+    plane_hooks.state_changed = [this](const gateway::site_state& state) {
+        on_state_changed(state);
+    };
     plane_hooks.synced = [this] { release_held_requests(); };
     control_ = std::make_unique<control_plane>(env_, *mesh_, std::move(plane_hooks));
     backend_feed_hooks feed_hooks;
@@ -380,8 +382,7 @@
         if (version.empty()) {
             continue;
         }
-        env_.log->info("proposing version {} as the incumbent of service {}", version,
-                       service.name);
+        env_.log->info("service {}: proposing incumbent version {}", service.name, version);
         gateway::control_command command;
         command.kind = gateway::control_kind::set_incumbent;
         command.incumbent = {service.name, std::move(version)};
@@ -393,7 +394,7 @@
 {
     propose_incumbents();
     backend_feed_->broadcast_pinned_sessions(rollouts_.take_pinned(env_.now()));
-    control_->take_versions(rollouts_.take_report());
+    control_->report_versions(rollouts_.take_report());
     release_held_requests();
     if (ready() != was_ready_) {
         was_ready_ = ready();
@@ -480,7 +481,7 @@
     metrics.set("caller_connections", static_cast<double>(callers_server_->connections()));
     metrics.set("requests_in_flight", static_cast<double>(callers_server_->in_flight()));
     metrics.set("control_unsent_bytes", static_cast<double>(control_server_->unsent_bytes()));
-    metrics.set("hosts", static_cast<double>(control_->hosts()));
+    metrics.set("hosts", static_cast<double>(control_->host_count()));
     metrics.set("log_lines_dropped", static_cast<double>(telemetry::dropped_log_lines()));
     metrics.set("site_revision", static_cast<double>(control_->state().revision));
     if (const auto* group = control_->group(); group != nullptr) {
