--- a/src/gateway/control_calls.h
+++ b/src/gateway/control_calls.h
@@ -10,29 +10,33 @@
 
 namespace hickorypost {
 
-/// The calls of operators and backend servers: configurations, roll-outs, heartbeats.
+/// Handles the HTTP calls on the control port: configurations, roll-outs and suspect requests from
+/// operators, heartbeats and leave notices from backend servers.
 class control_calls {
 public:
-    /// `may_serve`: whether the configuration in force names a service, or none is in force yet.
+    /// `is_known_service` returns whether the configuration in force contains the service; true if
+    /// no configuration is in force yet.
     control_calls(runtime& env, control_plane& control, backend_feed& feed,
-                  const gateway::backend_directory& directory, gateway::crash_ledger& suspects,
-                  std::function<bool(const std::string& service)> may_serve)
-        : env_{env}, control_{control}, feed_{feed}, directory_{directory}, suspects_{suspects},
-          may_serve_{std::move(may_serve)}
+                  const gateway::backend_directory& directory, gateway::crash_ledger& crash_ledger,
+                  std::function<bool(const std::string& service)> is_known_service)
+        : env_{env}, control_{control}, feed_{feed}, directory_{directory},
+          crash_ledger_{crash_ledger}, is_known_service_{std::move(is_known_service)}
     {
     }
 
+    /// Responds to the request, at once or when the control log has replied.
     void handle(incoming_request request);
 
 private:
     void heartbeat(const std::string& name, const incoming_request& request);
     void leave(const std::string& name, const incoming_request& request);
-    /// What is wrong with a record that could be read, as far as this process knows; nothing if it
-    /// may be taken.
-    [[nodiscard]] std::optional<std::string> fault_of(const gateway::backend_record& record) const;
-    /// Refuses what a backend server, or somebody in its name, told.
+    /// Checks a decoded record against the configuration and the earlier records of the backend
+    /// server. Returns a description of the fault, or nothing if the record is valid.
+    [[nodiscard]] std::optional<std::string>
+    find_record_fault(const gateway::backend_record& record) const;
+    /// Counts and logs a refused record and responds with status 400.
     void refuse_record(const std::string& name, const incoming_request& request,
-                       std::string_view why);
+                       std::string_view reason);
     void put_config(incoming_request request);
     void get_config(const incoming_request& request);
     void begin_rollout(const incoming_request& request);
@@ -44,9 +48,9 @@
     control_plane& control_;
     backend_feed& feed_;
     const gateway::backend_directory& directory_;
-    gateway::crash_ledger& suspects_;
-    std::function<bool(const std::string& service)> may_serve_;
-    instant refusal_logged_; ///< the last line about a refused record
+    gateway::crash_ledger& crash_ledger_;
+    std::function<bool(const std::string& service)> is_known_service_;
+    instant refusal_logged_; ///< time of the last log line about a refused record
 };
 
 } // namespace hickorypost
