--- a/src/gateway/backend_dial.h
+++ b/src/gateway/backend_dial.h
@@ -9,12 +9,13 @@
 
 namespace hickorypost {
 
-/// Opens a connection to a backend server and closes it again without sending anything. If the
-/// server closes it first, which it does as it ends, another one is opened.
-/// `done(true)`: one was refused. Nothing is called if nobody answers, or after destruction.
+/// Checks whether a backend server still accepts connections, without sending any bytes. Opens a
+/// connection; if the backend server closes it, as it does when its process ends, opens another
+/// one, up to three in all. Calls `done(true)` if a connection is refused and `done(false)` if one
+/// stays open or all are closed. Never calls `done` if there is no response, or after destruction.
 class backend_dial final : public gateway::dial {
 public:
-    backend_dial(net::poller& on, gateway::scheduler& timers, clock_fn now,
+    backend_dial(net::poller& poller, gateway::scheduler& timers, clock_fn now,
                  const std::string& address, std::function<void(bool refused)> done);
     ~backend_dial() override;
     backend_dial(const backend_dial&) = delete;
@@ -22,19 +23,19 @@
 
 private:
     void connect();
-    void ended(net::stream_end how);
-    /// Calls `done` after this long, unless something else is called before.
-    void finish(bool refused, millis delay);
-    void call_later(millis delay, std::function<void()> hook);
+    void on_ended(net::stream_end end);
+    /// Calls `done_` after `delay`, unless another call is scheduled before.
+    void report(bool refused, millis delay);
+    void schedule(millis delay, std::function<void()> hook);
 
     net::poller& poller_;
     gateway::scheduler& timers_;
     clock_fn now_;
-    std::optional<net::endpoint> to_;
+    std::optional<net::endpoint> address_;
     std::function<void(bool refused)> done_;
     std::unique_ptr<net::tcp_stream> stream_;
     std::uint64_t timer_ = 0;
-    std::uint32_t connects_ = 0;
+    std::uint32_t attempts_ = 0;
 };
 
 } // namespace hickorypost
--- a/src/gateway/caller_connection.cpp
+++ b/src/gateway/caller_connection.cpp
@@ -12,26 +12,27 @@
 constexpr unsigned status_head_too_large = 431;
 constexpr unsigned status_no_content = 204;
 constexpr unsigned status_not_modified = 304;
-/// Unacknowledged bytes or unanswered probes after which a caller's connection is dead.
-constexpr millis silence_limit{10'000};
-/// How long a caller may take to close its side after the last answer.
-constexpr millis linger_limit{2'000};
+/// A connection on which sent bytes or keepalive probes stay unacknowledged for this long is
+/// closed.
+constexpr millis unacknowledged_timeout{10'000};
+/// Time that a caller has to close its side after the last answer.
+constexpr millis linger_timeout{2'000};
 
 bool has_no_body(unsigned status)
 {
     return status == status_no_content || status == status_not_modified;
 }
 
-http1::parse_limits limits_of(const gateway::caller_limits& it)
+http1::parse_limits to_parse_limits(const gateway::caller_limits& limits)
 {
-    return {it.head_bytes, it.body_bytes};
+    return {limits.head_bytes, limits.body_bytes};
 }
 
 } // namespace
 
 caller_connection::caller_connection(caller_server& server, int fd)
-    : server_{server}, stream_{net::tcp_stream::adopt(server.poller_, fd, silence_limit)},
-      parser_{limits_of(server.options_.limits())}
+    : server_{server}, stream_{net::tcp_stream::adopt(server.poller_, fd, unacknowledged_timeout)},
+      parser_{to_parse_limits(server.options_.limits())}
 {
 }
 
@@ -44,15 +45,15 @@
 void caller_connection::start()
 {
     net::tcp_stream::hooks hooks;
-    hooks.bytes = [this](std::string_view bytes) { take(bytes); };
+    hooks.bytes = [this](std::string_view bytes) { on_bytes(bytes); };
     hooks.drained = [this] {
         if (exchange_) {
             exchange_->caller_drained();
-        } else if (sending_rest_) {
-            answered();
+        } else if (closing_when_sent_) {
+            on_answer_complete();
         }
     };
-    hooks.ended = [this](net::stream_end) { gone(); };
+    hooks.ended = [this](net::stream_end) { on_ended(); };
     stream_->set_hooks(std::move(hooks));
     arm_timer();
 }
@@ -60,16 +61,16 @@
 void caller_connection::arm_timer()
 {
     const auto limits = server_.options_.limits();
-    head_timer_ = parser_.begun();
+    timing_request_ = parser_.begun();
     server_.timers_.cancel(timer_);
     timer_ = server_.timers_.add(
-        server_.now_() + (head_timer_ ? limits.head_timeout : limits.idle_timeout), [this] {
+        server_.now_() + (timing_request_ ? limits.head_timeout : limits.idle_timeout), [this] {
             timer_ = 0;
-            time_passed();
+            on_timeout();
         });
 }
 
-void caller_connection::time_passed()
+void caller_connection::on_timeout()
 {
     const auto keep = shared_from_this();
     if (busy_) {
@@ -85,10 +86,10 @@
     server_.remove(this);
 }
 
-void caller_connection::take(std::string_view bytes)
+void caller_connection::on_bytes(std::string_view bytes)
 {
     if (lingering_) {
-        return; // the rest of a refused request
+        return; // the remainder of a refused request
     }
     const auto keep = shared_from_this();
     parser_.push(bytes);
@@ -100,22 +101,22 @@
 void caller_connection::advance()
 {
     if (parser_.fault() != http1::parse_fault::none) {
-        refuse(parser_.fault());
+        reject(parser_.fault());
         return;
     }
     if (parser_.done()) {
-        take_request();
+        on_request();
         return;
     }
     if (parser_.head_done() && std::exchange(parser_.head().expects_continue, false)) {
         stream_->write("HTTP/1.1 100 Continue\r\n\r\n");
     }
-    if (parser_.begun() != head_timer_ || timer_ == 0) {
+    if (parser_.begun() != timing_request_ || timer_ == 0) {
         arm_timer();
     }
 }
 
-void caller_connection::refuse(http1::parse_fault fault)
+void caller_connection::reject(http1::parse_fault fault)
 {
     unsigned status = status_bad_request;
     if (fault == http1::parse_fault::head_too_large) {
@@ -123,13 +124,13 @@
     } else if (fault == http1::parse_fault::body_too_large) {
         status = status_body_too_large;
     }
-    // The end of the refused request is unknown, so nothing after it can be parsed.
+    // The end of the refused request is unknown, so that later requests cannot be parsed.
     keep_alive_ = false;
     busy_ = true;
     respond(gateway::own_answer(status), {});
 }
 
-void caller_connection::take_request()
+void caller_connection::on_request()
 {
     busy_ = true;
     arrived_ = server_.now_();
@@ -140,7 +141,7 @@
         dispatch();
         return;
     }
-    timer_ = server_.timers_.add(arrived_ + options.hold_limit, [this] {
+    timer_ = server_.timers_.add(arrived_ + options.max_hold_time, [this] {
         timer_ = 0;
         dispatch();
     });
@@ -153,9 +154,9 @@
     keep_alive_ = parser_.head().keep_alive;
     bodyless_ = parser_.head().method == "HEAD";
     request_ = parser_.head().target;
-    incoming_request it{std::move(parser_.head()), std::move(parser_.body()), shared_from_this(),
-                        arrived_};
-    if (auto started = server_.options_.handle(std::move(it))) {
+    incoming_request request{std::move(parser_.head()), std::move(parser_.body()),
+                             shared_from_this(), arrived_};
+    if (auto started = server_.options_.handle(std::move(request))) {
         exchange_ = std::move(started);
         request_ = exchange_->id();
         exchange_->start();
@@ -179,7 +180,7 @@
         out.append(body);
     }
     stream_->write(out);
-    answered();
+    on_answer_complete();
 }
 
 void caller_connection::begin(http1::response_head head)
@@ -211,25 +212,25 @@
         return;
     }
     stream_->write(http1::last_chunk);
-    answered();
+    on_answer_complete();
 }
 
 void caller_connection::break_off()
 {
-    // Without the last chunk the caller sees that the answer is incomplete.
+    // The last chunk is left out, so that the caller detects the incomplete answer.
     keep_alive_ = false;
-    answered();
+    on_answer_complete();
 }
 
-void caller_connection::answered()
+void caller_connection::on_answer_complete()
 {
-    turn_over_ = true;
+    answer_complete_ = true;
     server_.poller_.flush_later(*this);
 }
 
 void caller_connection::flush()
 {
-    if (!std::exchange(turn_over_, false)) {
+    if (!std::exchange(answer_complete_, false)) {
         return;
     }
     const auto keep = shared_from_this();
@@ -239,7 +240,7 @@
         return;
     }
     busy_ = false;
-    parser_.set_limits(limits_of(server_.options_.limits()));
+    parser_.set_limits(to_parse_limits(server_.options_.limits()));
     parser_.next();
     if (parser_.begun()) {
         advance();
@@ -269,19 +270,20 @@
         linger();
         return;
     }
-    sending_rest_ = true;
-    close_after(silence_limit);
+    closing_when_sent_ = true;
+    close_after(unacknowledged_timeout);
 }
 
 void caller_connection::linger()
 {
     // Closing a socket that has unread input resets the connection, and the caller may lose the
-    // answer. It closes once it has read it.
+    // answer. Therefore this side shuts down its output and waits until the caller, having read the
+    // answer, closes the connection.
     busy_ = false;
-    sending_rest_ = false;
+    closing_when_sent_ = false;
     lingering_ = true;
     stream_->shut_down_output();
-    close_after(linger_limit);
+    close_after(linger_timeout);
 }
 
 void caller_connection::close_after(millis limit)
@@ -297,20 +299,22 @@
 
 void caller_connection::report_loss(bool by_caller)
 {
-    // The record of an exchange tells of a caller that left.
-    const bool known = by_caller && (lingering_ || exchange_);
-    const bool sent = turn_over_ && stream_->unsent() == 0;
-    if (!owes_answer() || closed_ || sent || known || !server_.options_.lost) {
+    // A caller that closes after the answer was sent has received it; one that leaves during an
+    // exchange appears in the record of the exchange.
+    const bool accounted_for = by_caller && (lingering_ || exchange_);
+    const bool sent = answer_complete_ && stream_->unsent() == 0;
+    if (!answer_pending() || closed_ || sent || accounted_for ||
+        !server_.options_.connection_lost) {
         return;
     }
-    const bool answered = !busy_ || turn_over_ || sending_rest_;
+    const bool answered = !busy_ || answer_complete_ || closing_when_sent_;
     const auto state = lingering_ ? answer_state::unconfirmed
                        : answered ? answer_state::unsent
                                   : answer_state::unanswered;
-    server_.options_.lost({request_, state, by_caller, stream_->unsent()});
+    server_.options_.connection_lost({request_, state, by_caller, stream_->unsent()});
 }
 
-void caller_connection::gone()
+void caller_connection::on_ended()
 {
     const auto keep = shared_from_this();
     report_loss(true);
--- a/src/gateway/caller_connection.h
+++ b/src/gateway/caller_connection.h
@@ -4,7 +4,8 @@
 
 namespace hickorypost {
 
-/// One caller's connection: reads requests one after the other and writes their answers.
+/// Server side of one caller's HTTP/1.1 connection. Reads requests one at a time and writes their
+/// answers.
 class caller_connection final : public gateway::caller_port,
                                 public net::pollable,
                                 public std::enable_shared_from_this<caller_connection> {
@@ -15,22 +16,23 @@
     caller_connection& operator=(const caller_connection&) = delete;
 
     void start();
+    /// Ends the exchange and closes the connection at once.
     void close();
-    /// A whole request has been read and is not answered.
+    /// Whether a request has been read completely and its answer is not complete.
     [[nodiscard]] bool busy() const noexcept { return busy_; }
-    /// A whole request waits until it may be handled.
+    /// Whether a request has been read completely and is held until `options::may_handle`.
     [[nodiscard]] bool held() const noexcept { return held_; }
-    /// Hands the request over.
+    /// Passes the request to `options::handle`.
     void dispatch();
-    /// Answers the request at once, as the process is about to exit.
+    /// Ends the request with an immediate answer, because the process is about to exit.
     void finish_request();
-    /// The caller may not have received all of the last answer.
-    [[nodiscard]] bool owes_answer() const noexcept
+    /// Whether the caller may not have received its whole answer yet.
+    [[nodiscard]] bool answer_pending() const noexcept
     {
         return busy_ || lingering_ || stream_->unsent() > 0;
     }
-    /// Nothing of a request has come, and the caller is owed no answer.
-    [[nodiscard]] bool idle() const noexcept { return !owes_answer() && !parser_.begun(); }
+    /// Whether no request has begun and no answer is pending.
+    [[nodiscard]] bool idle() const noexcept { return !answer_pending() && !parser_.begun(); }
 
     void respond(http1::response_head head, std::string body) override;
     void begin(http1::response_head head) override;
@@ -40,22 +42,26 @@
     [[nodiscard]] std::size_t unsent() const override { return stream_->unsent(); }
 
     void ready(std::uint32_t) override {}
-    /// Runs after the turn in which an answer ended, when the exchange may be destroyed.
+    /// Runs at the end of the main loop iteration in which an answer was completed; only then the
+    /// exchange may be destroyed.
     void flush() override;
 
 private:
-    void take(std::string_view bytes);
+    void on_bytes(std::string_view bytes);
     void advance();
-    void refuse(http1::parse_fault fault);
-    void take_request();
-    void answered();
+    void reject(http1::parse_fault fault);
+    void on_request();
+    void on_answer_complete();
     void arm_timer();
-    void time_passed();
+    void on_timeout();
     void close_when_sent();
+    /// Waits for the caller to close its side.
     void linger();
     void close_after(millis limit);
+    /// Reports a connection that ends while an answer is pending.
     void report_loss(bool by_caller);
-    void gone();
+    /// The caller has closed the connection or it has failed.
+    void on_ended();
 
     caller_server& server_;
     std::unique_ptr<net::tcp_stream> stream_;
@@ -63,16 +69,16 @@
     std::unique_ptr<gateway::exchange> exchange_;
     std::uint64_t timer_ = 0;
     instant arrived_;
-    std::string request_; ///< as in `connection_loss`
+    std::string request_; ///< see `connection_loss::request`
     bool busy_ = false;
     bool held_ = false;
     bool keep_alive_ = true;
-    bool bodyless_ = false;  ///< the answer to HEAD has no body
-    bool turn_over_ = false; ///< the answer is complete; `flush` clears up
+    bool bodyless_ = false;        ///< the answer to HEAD has no body
+    bool answer_complete_ = false; ///< `flush` prepares for the next request or closes
     bool closed_ = false;
-    bool sending_rest_ = false; ///< the answer is complete; the connection closes once it is sent
-    bool lingering_ = false;    ///< the answer is sent; waits for the caller to close
-    bool head_timer_ = false;   ///< the timer bounds a request that has begun
+    bool closing_when_sent_ = false; ///< closes once the complete answer has been sent
+    bool lingering_ = false;         ///< the answer is sent; waits for the caller to close
+    bool timing_request_ = false;    ///< `timer_` limits reading a request, not the idle time
 };
 
 } // namespace hickorypost
--- a/src/gateway/caller_server.h
+++ b/src/gateway/caller_server.h
@@ -15,75 +15,78 @@
 
 class caller_connection;
 
-/// A request as it came from a caller's connection, whole.
+/// A completely read request of a caller.
 struct incoming_request {
     http1::request_head head;
     std::string body;
-    /// Takes the answer, now or later. Ignores it if the caller has left.
+    /// Port for the answer, which may be given at once or later. Ignored if the caller has left.
     std::shared_ptr<gateway::caller_port> answer;
     instant arrived;
 };
 
-/// Why a caller may not have received its whole answer.
+/// How far the answer had come when its connection was closed.
 enum class answer_state : std::uint8_t {
-    unanswered,  ///< the request has been read, its answer is not complete
-    unsent,      ///< the answer is complete, not all of it was handed to the kernel
-    unconfirmed, ///< all of it was sent, the caller did not close in time
+    unanswered,  ///< the request has been read; its answer is not complete
+    unsent,      ///< the answer is complete; part of it has not been written to the socket
+    unconfirmed, ///< the answer has been sent; the caller did not close the connection in time
 };
 
-/// A connection that was closed while its caller was owed an answer.
+/// A connection that was closed while an answer was pending.
 struct connection_loss {
-    std::string request; ///< the request's id, or its target
+    std::string request; ///< id of the request, or its target if it has none
     answer_state state = answer_state::unanswered;
-    bool by_caller = false;
+    bool by_caller = false; ///< closed by the caller, not by this host
     std::size_t unsent_bytes = 0;
 };
 
-/// Serves HTTP/1.1 on one address: many kept connections, one request at a time on each.
+/// HTTP/1.1 server on one address. Connections are persistent and carry one request at a time.
 class caller_server {
 public:
     struct options {
         std::function<gateway::caller_limits()> limits;
         /// Starts an exchange for the request, or returns null if `answer` was or will be used.
         std::function<std::unique_ptr<gateway::exchange>(incoming_request)> handle;
-        /// While it returns false, requests are held, for `hold_limit` at most. Unset: never.
+        /// Requests are held while this returns false, for `max_hold_time` at most. If unset,
+        /// requests are never held.
         std::function<bool()> may_handle = nullptr;
-        millis hold_limit{0};
-        std::function<void(const connection_loss&)> lost = nullptr;
+        millis max_hold_time{0};
+        /// A connection was closed while an answer was pending.
+        std::function<void(const connection_loss&)> connection_lost = nullptr;
     };
 
-    /// Gives nothing if the address cannot be listened on; errno tells why.
-    static std::unique_ptr<caller_server> open(net::poller& on, gateway::scheduler& timers,
-                                               clock_fn now, const net::endpoint& at, options how);
+    /// Listens on `address`. Returns null and sets errno on failure.
+    static std::unique_ptr<caller_server> open(net::poller& poller, gateway::scheduler& timers,
+                                               clock_fn now, const net::endpoint& address,
+                                               options opts);
     ~caller_server();
     caller_server(const caller_server&) = delete;
     caller_server& operator=(const caller_server&) = delete;
 
-    /// From now on each answer ends its connection.
+    /// From now on each answer closes its connection.
     void begin_drain() { draining_ = true; }
-    /// Dispatches held requests, once `may_handle` returns true.
+    /// Dispatches all held requests. Call once `may_handle` returns true.
     void release_held();
-    /// New connections are refused from now on, so that callers go elsewhere at once.
+    /// Closes the listening socket, so that new callers are refused and use another host at once.
     void stop_accepting() { listener_.reset(); }
     [[nodiscard]] bool accepts() const noexcept { return listener_ != nullptr; }
-    /// Answers all requests that are still in flight, as the process is about to exit.
+    /// Ends all requests in flight with an immediate answer, because the process is about to exit.
     void finish_requests();
     /// Closes connections on which no request has begun.
     void close_idle();
-    /// Requests that have been read and not been answered.
+    /// Number of requests that have been read and whose answer is not complete.
     [[nodiscard]] std::size_t in_flight() const;
-    /// Connections whose caller may not have received its whole answer.
-    [[nodiscard]] std::size_t owing() const;
-    /// Bytes of answers that were not handed to the kernel yet.
+    /// Number of connections whose caller may not have received its whole answer.
+    [[nodiscard]] std::size_t pending_answers() const;
+    /// Bytes of answers that have not been written to the sockets yet.
     [[nodiscard]] std::size_t unsent_bytes() const;
     [[nodiscard]] std::size_t connections() const noexcept { return connections_.size(); }
 
 private:
     friend class caller_connection;
 
-    caller_server(net::poller& on, gateway::scheduler& timers, clock_fn now, options how);
+    caller_server(net::poller& poller, gateway::scheduler& timers, clock_fn now, options opts);
     void accept(int fd);
-    void remove(caller_connection* it) { connections_.erase(it); }
+    void remove(caller_connection* connection) { connections_.erase(connection); }
 
     net::poller& poller_;
     gateway::scheduler& timers_;
--- a/src/gateway/gateway_role.cpp
+++ b/src/gateway/gateway_role.cpp
@@ -250,7 +250,7 @@
 {
     const std::string text = address.host + ":" + std::to_string(address.port);
     const auto endpoint = net::endpoint::parse(text);
-    options.lost = [this](const connection_loss& loss) { journal_.lost(loss); };
+    options.connection_lost = [this](const connection_loss& loss) { journal_.lost(loss); };
     auto out = endpoint
                    ? caller_server::open(poller_, timers_, env_.now, *endpoint, std::move(options))
                    : nullptr;
@@ -445,7 +445,7 @@
                        callers_server_->in_flight());
     }
     const bool callers_left = elapsed >= min_drain_time && callers_server_->connections() == 0;
-    const std::size_t pending = control_server_->owing();
+    const std::size_t pending = control_server_->pending_answers();
     if (callers_left && pending > 0 && !std::exchange(awaiting_control_responses_, true)) {
         env_.log->info("no callers left; finishing {} responses on the control port", pending);
     }
