--- a/tests/gateway/caller_server_test.cpp
+++ b/tests/gateway/caller_server_test.cpp
@@ -1,4 +1,4 @@
-/// A caller's connection and the steps of a stopping host, in all orders, over real sockets.
+/// Interleavings of a streamed answer with the steps of a host's drain, over real sockets.
 
 #include "gateway/caller_server.h"
 
@@ -16,32 +16,32 @@
 using namespace hickorypost;
 using namespace hickorypost::testing;
 
-net::endpoint free_address()
+net::endpoint unused_address()
 {
     return loopback_listener{}.address();
 }
 
-struct variant {
+struct stream_case {
     std::size_t piece_bytes = 0;
-    bool drains_before_head = false; ///< the answer bears `Connection: close`
-    bool sends_more = false;         ///< the caller sends bytes after its request
+    bool drain_before_head = false; ///< so that the answer has the header field `Connection: close`
+    bool pipelines_request = false; ///< the caller sends part of a second request
 };
 
-/// One caller that waits for a stream, and the host that is about to stop.
-class stopping_host {
+/// A server that drains while one caller receives a streamed answer.
+class draining_server {
 public:
-    explicit stopping_host(variant how) : how_{how}, piece_(how.piece_bytes, 'x')
+    explicit draining_server(stream_case params) : params_{params}, piece_(params.piece_bytes, 'x')
     {
-        const net::endpoint at = free_address();
-        server_ = caller_server::open(poller_, timers_, [] { return instant{}; }, at,
+        const net::endpoint address = unused_address();
+        server_ = caller_server::open(poller_, timers_, [] { return instant{}; }, address,
                                       {[] { return gateway::caller_limits{}; },
-                                       [this](const incoming_request& it) {
-                                           port_ = it.answer;
+                                       [this](const incoming_request& request) {
+                                           port_ = request.answer;
                                            return nullptr;
                                        }});
-        connect(at);
-        turn_main_loop();
-        if (how_.drains_before_head) {
+        connect(address);
+        run_main_loop();
+        if (params_.drain_before_head) {
             server_->begin_drain();
         }
         if (port_) {
@@ -49,22 +49,22 @@
             head.status = 200;
             port_->begin(std::move(head));
         }
-        if (how_.sends_more) {
+        if (params_.pipelines_request) {
             send("GET /next HTTP/1.1\r\n");
         }
-        if (!how_.drains_before_head) {
+        if (!params_.drain_before_head) {
             server_->begin_drain();
         }
     }
-    ~stopping_host() { ::close(fd_); }
-    stopping_host(const stopping_host&) = delete;
-    stopping_host& operator=(const stopping_host&) = delete;
+    ~draining_server() { ::close(fd_); }
+    draining_server(const draining_server&) = delete;
+    draining_server& operator=(const draining_server&) = delete;
 
-    /// `P` a piece, `E` the end, `T` a turn of the main loop, `D` a step of the drain, `R` the
-    /// caller reads.
-    void step(char what)
+    /// Runs one step: `P` sends a piece, `E` ends the stream, `T` runs the main loop, `D` runs a
+    /// drain step, `R` lets the caller read.
+    void step(char which)
     {
-        switch (what) {
+        switch (which) {
         case 'P':
             port_->piece(piece_);
             break;
@@ -73,7 +73,7 @@
             port_.reset();
             break;
         case 'T':
-            turn_main_loop();
+            run_main_loop();
             break;
         case 'D':
             drain_step();
@@ -83,39 +83,39 @@
             break;
         }
     }
-    /// Lets host and caller go on until the host has exited.
+    /// Runs server and caller until the drain has ended. Returns false if it does not end.
     bool finish()
     {
-        constexpr int max_turns = 10'000;
-        for (int n = 0; n < max_turns && server_; ++n) {
-            turn_main_loop();
-            pollfd more{fd_, POLLIN, 0};
-            ::poll(&more, over_ ? 0 : 1, 1);
+        constexpr int max_iterations = 10'000;
+        for (int n = 0; n < max_iterations && server_; ++n) {
+            run_main_loop();
+            pollfd readable{fd_, POLLIN, 0};
+            ::poll(&readable, ended_ ? 0 : 1, 1);
             read();
             drain_step();
         }
         read();
         return server_ == nullptr;
     }
-    [[nodiscard]] bool whole(std::size_t pieces) const
+    [[nodiscard]] bool answer_complete(std::size_t pieces) const
     {
-        return !reset_ && got_.size() > pieces * how_.piece_bytes &&
-               got_.ends_with(http1::last_chunk);
+        return !reset_ && received_.size() > pieces * params_.piece_bytes &&
+               received_.ends_with(http1::last_chunk);
     }
     [[nodiscard]] bool started() const { return port_ != nullptr; }
 
 private:
-    void connect(const net::endpoint& at)
+    void connect(const net::endpoint& address)
     {
         fd_ = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-        if (how_.piece_bytes > 1000) {
-            constexpr int small = 4096;
-            ::setsockopt(fd_, SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
+        if (params_.piece_bytes > 1000) {
+            constexpr int receive_buffer = 4096;
+            ::setsockopt(fd_, SOL_SOCKET, SO_RCVBUF, &receive_buffer, sizeof receive_buffer);
         }
         sockaddr_in to{};
         to.sin_family = AF_INET;
-        to.sin_port = htons(at.port);
-        to.sin_addr.s_addr = at.ip;
+        to.sin_port = htons(address.port);
+        to.sin_addr.s_addr = address.ip;
         if (::connect(fd_, reinterpret_cast<const sockaddr*>(&to), sizeof to) == 0) {
             send("POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n");
         }
@@ -125,7 +125,7 @@
     {
         (void)::send(fd_, text.data(), text.size(), MSG_NOSIGNAL);
     }
-    /// As a host that has received SIGTERM does, once no new callers come.
+    /// The step that a host repeats after SIGTERM, once it accepts no new callers.
     void drain_step()
     {
         if (!server_) {
@@ -139,44 +139,44 @@
     void read()
     {
         std::array<char, 65536> buf{};
-        while (!over_) {
+        while (!ended_) {
             const ssize_t n = ::recv(fd_, buf.data(), buf.size(), 0);
             if (n > 0) {
-                got_.append(buf.data(), static_cast<std::size_t>(n));
+                received_.append(buf.data(), static_cast<std::size_t>(n));
                 continue;
             }
             if (n < 0 && errno == EAGAIN) {
                 return;
             }
-            over_ = true;
+            ended_ = true;
             reset_ = n < 0;
             // The caller closes once the answer has ended.
             ::shutdown(fd_, SHUT_RDWR);
         }
     }
 
-    variant how_;
+    stream_case params_;
     std::string piece_;
     net::poller poller_;
-    fake_scheduler timers_; ///< never runs: nothing waits within a test
+    fake_scheduler timers_; ///< never advanced; the test needs no timeouts
     std::unique_ptr<caller_server> server_;
     std::shared_ptr<gateway::caller_port> port_;
     int fd_ = -1;
-    std::string got_;
-    bool over_ = false;
+    std::string received_;
+    bool ended_ = false;
     bool reset_ = false;
 };
 
-/// The orders in which two pieces and the end of a stream meet the other steps.
-std::vector<std::string> all_orders(const std::string& others)
+/// All interleavings of `other_steps` with a stream of two pieces and its end.
+std::vector<std::string> all_orders(const std::string& other_steps)
 {
     std::vector<std::string> out;
-    std::string marks = others + "SSS"; // the stream's own steps, in their order
+    std::string marks = other_steps + "SSS"; // `S` stands for the next of `P`, `P`, `E`
     std::sort(marks.begin(), marks.end());
     do {
         std::string order = marks;
-        for (const char it : {'P', 'P', 'E'}) {
-            order[order.find('S')] = it;
+        for (const char step : {'P', 'P', 'E'}) {
+            order[order.find('S')] = step;
         }
         out.push_back(std::move(order));
     } while (std::next_permutation(marks.begin(), marks.end()));
@@ -187,27 +187,29 @@
 
 BOOST_AUTO_TEST_SUITE(caller_server_suite)
 
-// Guards against a stream that loses its end because its host stops at that moment.
-BOOST_AUTO_TEST_CASE(stream_is_whole_in_any_order_of_its_end_and_the_drain)
+// Guards against truncating a streamed answer that ends while its host drains: closing the
+// connection too early drops unsent bytes, or resets it because of unread input.
+BOOST_AUTO_TEST_CASE(streamed_answer_is_complete_in_any_interleaving_with_the_drain)
 {
     constexpr std::size_t small = 20;
-    constexpr std::size_t more_than_buffers = 300'000;
-    const variant variants[] = {{small, true, false},
-                                {small, true, true},
-                                {small, false, false},
-                                {more_than_buffers, true, false},
-                                {more_than_buffers, true, true},
-                                {more_than_buffers, false, false}};
-    for (const auto& how : variants) {
-        for (const auto& order : all_orders(how.piece_bytes == small ? "TTDDR" : "TDDR")) {
-            stopping_host it{how};
-            BOOST_REQUIRE(it.started());
+    constexpr std::size_t more_than_buffers = 300'000; // fills the socket buffers
+    const stream_case cases[] = {{small, true, false},
+                                 {small, true, true},
+                                 {small, false, false},
+                                 {more_than_buffers, true, false},
+                                 {more_than_buffers, true, true},
+                                 {more_than_buffers, false, false}};
+    for (const auto& params : cases) {
+        for (const auto& order : all_orders(params.piece_bytes == small ? "TTDDR" : "TDDR")) {
+            draining_server server{params};
+            BOOST_REQUIRE(server.started());
             for (const char step : order) {
-                it.step(step);
+                server.step(step);
             }
-            BOOST_REQUIRE_MESSAGE(it.finish(), order << ": the host does not stop");
-            BOOST_REQUIRE_MESSAGE(it.whole(2), order << ": the caller's answer is not whole, with "
-                                                     << how.piece_bytes << " bytes a piece");
+            BOOST_REQUIRE_MESSAGE(server.finish(), order << ": the drain does not end");
+            BOOST_REQUIRE_MESSAGE(server.answer_complete(2),
+                                  order << ": the caller's answer is incomplete, with "
+                                        << params.piece_bytes << " bytes per piece");
         }
     }
 }
--- a/tests/gateway/loopback_listener.h
+++ b/tests/gateway/loopback_listener.h
@@ -14,21 +14,21 @@
 public:
     loopback_listener() : fd_{::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0)}
     {
-        sockaddr_in at{};
-        socklen_t size = sizeof at;
-        at.sin_family = AF_INET;
-        at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-        auto* const raw = reinterpret_cast<sockaddr*>(&at);
+        sockaddr_in address{};
+        socklen_t size = sizeof address;
+        address.sin_family = AF_INET;
+        address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+        auto* const raw = reinterpret_cast<sockaddr*>(&address);
         if (::bind(fd_, raw, size) == 0 && ::listen(fd_, 16) == 0 &&
             ::getsockname(fd_, raw, &size) == 0) {
-            port_ = ntohs(at.sin_port);
+            port_ = ntohs(address.sin_port);
         }
     }
     ~loopback_listener() { close(); }
     loopback_listener(const loopback_listener&) = delete;
     loopback_listener& operator=(const loopback_listener&) = delete;
 
-    /// Connections that wait to be accepted are reset.
+    /// Closes the socket, which resets connections that have not been accepted.
     void close()
     {
         if (fd_ >= 0) {
@@ -36,7 +36,7 @@
             fd_ = -1;
         }
     }
-    /// Accepts those that wait and closes them. Returns how many.
+    /// Accepts and closes all pending connections. Returns their number.
     std::size_t accept_and_close() const
     {
         std::size_t out = 0;
@@ -54,8 +54,8 @@
     std::uint16_t port_ = 0;
 };
 
-/// Runs the main loop until nothing is left to do.
-inline void turn_main_loop()
+/// Runs the main loop until no event is pending.
+inline void run_main_loop()
 {
     while (g_main_context_iteration(nullptr, FALSE) != FALSE) {
     }
