--- a/src/gateway/backend_feed.cpp
+++ b/src/gateway/backend_feed.cpp
@@ -291,10 +291,10 @@
 {
     switch (type) {
     case wire::message_type::attach:
-        if (const auto it = wire::try_decode<wire::attach>(body)) {
+        if (const auto decoded = wire::try_decode<wire::attach>(body)) {
             attachments_.from_here.erase(from);
             loads_.on_host_gone(from);
-            if (it->on) {
+            if (decoded->on) {
                 loads_.owe_whole(from);
                 attachments_.from_here.insert(from);
                 send_full_state(from);
@@ -302,41 +302,41 @@
         }
         return true;
     case wire::message_type::backend_update:
-        if (const auto it = wire::try_decode<wire::backend_update>(body)) {
-            on_update(from, *it);
+        if (const auto decoded = wire::try_decode<wire::backend_update>(body)) {
+            on_update(from, *decoded);
         }
         return true;
     case wire::message_type::session_pins:
-        if (const auto it = wire::try_decode<wire::session_pins>(body)) {
-            if (auto pinned = hooks_.pin_sessions(it->sessions); !pinned.empty()) {
+        if (const auto decoded = wire::try_decode<wire::session_pins>(body)) {
+            if (auto pinned = hooks_.pin_sessions(decoded->sessions); !pinned.empty()) {
                 broadcast(wire::session_pins{std::move(pinned)}, from);
             }
         }
         return true;
     case wire::message_type::probe_failure:
-        if (const auto it = wire::try_decode<wire::probe_failure>(body)) {
-            on_probe_failure(from, *it);
+        if (const auto decoded = wire::try_decode<wire::probe_failure>(body)) {
+            on_probe_failure(from, *decoded);
         }
         return true;
     case wire::message_type::crash_facts:
-        if (const auto it = wire::try_decode<wire::crash_facts>(body)) {
-            on_crash_facts(from, *it);
+        if (const auto decoded = wire::try_decode<wire::crash_facts>(body)) {
+            on_crash_facts(from, *decoded);
         }
         return true;
     case wire::message_type::backend_limit:
-        if (const auto it = wire::try_decode<wire::backend_limit>(body)) {
-            const auto update = limits_.take(it->id, it->per_second);
+        if (const auto decoded = wire::try_decode<wire::backend_limit>(body)) {
+            const auto update = limits_.take(decoded->id, decoded->per_second);
             if (update.change) {
                 hooks_.limit_changed(*update.change);
             }
             if (update.is_news) {
-                broadcast(*it, from);
+                broadcast(*decoded, from);
             }
         }
         return true;
     case wire::message_type::load_report:
-        if (const auto it = wire::try_decode<wire::load_report>(body)) {
-            loads_.take_report(from, *it);
+        if (const auto decoded = wire::try_decode<wire::load_report>(body)) {
+            loads_.take_report(from, *decoded);
         }
         return true;
     default:
--- a/src/gateway/control_plane.cpp
+++ b/src/gateway/control_plane.cpp
@@ -14,8 +14,8 @@
 constexpr millis tick_period{50};
 /// Heartbeat period of the control log's leader, and the range of the randomized election timeout.
 /// An accepted change must be in force on all hosts within 2 s, even if the leader fails right
-/// after accepting it. However, a pause of a few hundred milliseconds on a slow host must
-/// not cost it leadership.
+/// after accepting it. However, a leader on a slow host must not lose leadership because of a pause
+/// of a few hundred milliseconds.
 constexpr millis replog_heartbeat{120};
 constexpr millis election_min{600};
 constexpr millis election_max{1100};
@@ -23,8 +23,8 @@
 /// complete again before the next host fails; the platform allows a second failure 4 s after the
 /// first.
 constexpr millis voter_replacement_timeout{1800};
-/// Log entries that stay in memory after a snapshot. Kept low because one entry may hold a
-/// configuration of tens of kilobytes.
+/// Log entries before the last snapshot that are kept in memory for followers that lag behind. Few,
+/// because one entry may hold a configuration of tens of kilobytes.
 constexpr std::size_t retained_entries = 64;
 /// Number of applied entries between two snapshots.
 constexpr std::uint64_t snapshot_every = 64;
@@ -138,7 +138,7 @@
         next_reopen_ = now_() + reopen_delay;
         return;
     }
-    env_.log->info("data directory open: control log replica is {}, last index {}",
+    env_.log->info("data directory open: {} replica of the control log, last index {}",
                    group_->core().role() == replog::replica_role::fresh ? "fresh" : "member",
                    group_->core().last_index());
     follow_replica();
@@ -391,44 +391,44 @@
 {
     switch (type) {
     case wire::message_type::replog:
-        if (const auto it = wire::try_decode<wire::replog_envelope>(body); it && group_) {
-            if (const auto msg = wire::try_decode<replog::message>(it->payload)) {
+        if (const auto decoded = wire::try_decode<wire::replog_envelope>(body); decoded && group_) {
+            if (const auto msg = wire::try_decode<replog::message>(decoded->payload)) {
                 group_->receive(*msg, now_());
                 follow_replica();
             }
         }
         return true;
     case wire::message_type::core_note:
-        if (const auto it = wire::try_decode<wire::core_note>(body)) {
-            handle_note(from, *it);
+        if (const auto decoded = wire::try_decode<wire::core_note>(body)) {
+            handle_note(from, *decoded);
         }
         return true;
     case wire::message_type::site_query:
-        if (const auto it = wire::try_decode<wire::site_query>(body);
-            it && it->have_revision < state_.revision) {
+        if (const auto decoded = wire::try_decode<wire::site_query>(body);
+            decoded && decoded->have_revision < state_.revision) {
             mesh_.send(from, wire::site_update{wire::encode(state_)});
         }
         return true;
     case wire::message_type::site_update:
-        if (const auto it = wire::try_decode<wire::site_update>(body)) {
-            if (auto state = wire::try_decode<gateway::site_state>(it->state)) {
+        if (const auto decoded = wire::try_decode<wire::site_update>(body)) {
+            if (auto state = wire::try_decode<gateway::site_state>(decoded->state)) {
                 update_state(std::move(*state));
             }
         }
         return true;
     case wire::message_type::order:
-        if (const auto it = wire::try_decode<wire::order>(body)) {
-            handle_order(from, *it);
+        if (const auto decoded = wire::try_decode<wire::order>(body)) {
+            handle_order(from, *decoded);
         }
         return true;
     case wire::message_type::order_reply:
-        if (const auto it = wire::try_decode<wire::order_reply>(body)) {
-            handle_reply(*it);
+        if (const auto decoded = wire::try_decode<wire::order_reply>(body)) {
+            handle_reply(*decoded);
         }
         return true;
     case wire::message_type::version_report:
-        if (const auto it = wire::try_decode<wire::version_report>(body)) {
-            for (const auto& row : it->rows) {
+        if (const auto decoded = wire::try_decode<wire::version_report>(body)) {
+            for (const auto& row : decoded->rows) {
                 judge_.take({row.service, row.version, {row.answers, row.bad, row.paced, row.slow}},
                             now_());
             }
--- a/src/gateway/control_plane.h
+++ b/src/gateway/control_plane.h
@@ -22,9 +22,9 @@
     std::function<void()> synced;
 };
 
-/// Access to the control log, which replicates configurations and roll-outs. A host with a disk
-/// holds a replica; all hosts send orders (commands and reads) to the leader and keep the newest
-/// state they have received.
+/// Access to the control log, which replicates configurations and roll-outs. A host with a
+/// disk (core host) holds a replica; all hosts send orders (commands and reads) to the leader and
+/// keep the newest state they have received.
 class control_plane {
 public:
     /// `unavailable`: no leader has confirmed the order in time. A command may still take effect.
