--- a/modules/dispatch/include/hickorypost/dispatch/request_services.h
+++ b/modules/dispatch/include/hickorypost/dispatch/request_services.h
@@ -4,7 +4,7 @@
 #include "hickorypost/dispatch/session_cache.h"
 #include "hickorypost/ledger/ledger_types.h"
 #include "hickorypost/records/records_state.h"
-#include "hickorypost/rollout/exposure_book.h"
+#include "hickorypost/rollout/exposure_tracker.h"
 #include "hickorypost/routing/cascade_policy.h"
 #include "hickorypost/routing/retry_budget.h"
 #include "hickorypost/routing/router.h"
@@ -52,7 +52,7 @@
     routing::router& router;
     routing::retry_budget& retries;
     routing::cascade_policy& cascades;
-    rollout::exposure_book& exposure;
+    rollout::exposure_tracker& exposure;
     admission::rate_limiter& limiter;
     session_cache& sessions;
     telemetry::metrics& metrics;
--- a/modules/dispatch/src/request_answer.cpp
+++ b/modules/dispatch/src/request_answer.cpp
@@ -120,7 +120,7 @@
                        wire::resume{attempt_.id, attempt_.agent_life, answer_.size()});
         return;
     }
-    services_.router.take_load(attempt_.backend, msg.running, msg.queued);
+    services_.router.apply_load_report(attempt_.backend, msg.running, msg.queued);
     const bool backend_fault = is_backend_fault(msg);
     to_settle_.emplace_back(attempt_.backend.agent, attempt_.id);
     answer_type_ = msg.content_type;
@@ -237,7 +237,7 @@
     const auto* model = services_.records().model(target().model);
     const auto first = attempt_.first_byte.value_or(services_.now()) - attempt_.started;
     const bool slow = model != nullptr && model->slow_ms > 0 && to_millis(first) > model->slow_ms;
-    services_.exposure.saw_answer(target(), msg.outcome != wire::run_outcome::complete, slow);
+    services_.exposure.record_answer(target(), msg.outcome != wire::run_outcome::complete, slow);
     if (msg.outcome != wire::run_outcome::complete || cascade_ || !services_.rated()) {
         return;
     }
@@ -245,7 +245,7 @@
     services_.rate(target(), body_, answer_.all(), rating_limit,
                    [&book = services_.exposure, version = target()](auto rating) {
                        if (rating) {
-                           book.saw_rating(version, *rating >= good_rating);
+                           book.record_rating(version, *rating >= good_rating);
                        }
                    });
 }
@@ -382,7 +382,7 @@
         outcome = told_outcome::unknown;
     }
     if (outcome == told_outcome::not_run && on_candidate_) {
-        services_.exposure.give_back(target());
+        services_.exposure.return_answer(target());
         on_candidate_ = false;
     }
     services_.metrics.count("entry_errors_total{type=\"" + std::string{type} + "\"}");
--- a/modules/dispatch/src/request_flow.cpp
+++ b/modules/dispatch/src/request_flow.cpp
@@ -86,7 +86,7 @@
         services_.sessions.put({fact_.key.account, session_, target().model}, reply->bound_version);
         if (reply->bound_version != target().version) {
             if (on_candidate_) {
-                services_.exposure.give_back(target());
+                services_.exposure.return_answer(target());
                 on_candidate_ = false;
             }
             stages_[0].version = reply->bound_version;
--- a/modules/gateway/src/rollout_judge.cpp
+++ b/modules/gateway/src/rollout_judge.cpp
@@ -110,11 +110,11 @@
         next.reason = std::to_string(candidate.bad) + " of " + std::to_string(candidate.answers) +
                       " answers bad, old version " + std::to_string(incumbent.bad) + " of " +
                       std::to_string(incumbent.answers);
-    } else if (part >= settings_.complete_part && found.towards_bad <= 0) {
+    } else if (part >= settings_.complete_part && found.bad_log_likelihood_ratio <= 0) {
         next.phase = rollout_phase::completed;
         next.reason = std::to_string(candidate.answers) + " answers, " +
                       std::to_string(candidate.bad) + " bad";
-    } else if (found.towards_bad <= 0) {
+    } else if (found.bad_log_likelihood_ratio <= 0) {
         // Evidence that leans towards bad holds the share where it is until it is clear.
         next.share_permille = std::max(next.share_permille, share_at(next));
     }
--- a/modules/rollout/include/hickorypost/rollout/exposure_book.h
+++ b/modules/rollout/include/hickorypost/rollout/exposure_tracker.h
@@ -8,7 +8,7 @@
 
 namespace hickorypost::rollout {
 
-struct book_options {
+struct exposure_options {
     /// A grant that is not used within this lapses; well under the controller's lifetime of it.
     millis grant_lifetime{4000};
     millis report_period{200};
@@ -17,11 +17,11 @@
 
 /// An entry's side of roll-outs: spends granted answers on candidates and gathers evidence.
 /// Sans I/O.
-class exposure_book {
+class exposure_tracker {
 public:
     /// `first_sequence` must be higher than any that this entry used in an earlier life, or its
     /// first requests would be taken for resent ones; a wall clock's milliseconds will do.
-    exposure_book(book_options options, random_fn random, std::uint64_t first_sequence)
+    exposure_tracker(exposure_options options, random_fn random, std::uint64_t first_sequence)
         : options_{options}, random_{std::move(random)}, sequence_{first_sequence}
     {
     }
@@ -29,14 +29,14 @@
     /// May the next answer of this model go to the candidate? Spends one granted answer if so.
     bool take(const model_version& candidate, instant now);
     /// The answer did not start after all.
-    void give_back(const model_version& candidate);
+    void return_answer(const model_version& candidate);
 
-    void saw_answer(const model_version& version, bool error, bool slow);
-    void saw_rating(const model_version& version, bool good);
+    void record_answer(const model_version& version, bool error, bool slow);
+    void record_rating(const model_version& version, bool good);
 
     /// The request to send now, if one is due. The same one is sent again until it is answered.
     std::optional<wire::exposure_request> due(instant now);
-    void take_grant(const wire::exposure_grant& grant, instant now);
+    void apply_grant(const wire::exposure_grant& grant, instant now);
 
 private:
     struct lease {
@@ -47,7 +47,7 @@
 
     wire::version_evidence& evidence_of(const model_version& version);
 
-    book_options options_;
+    exposure_options options_;
     random_fn random_;
     std::map<model_version, lease> leases_;
     std::map<model_version, wire::version_evidence> evidence_;
--- a/modules/rollout/include/hickorypost/rollout/rollout_controller.h
+++ b/modules/rollout/include/hickorypost/rollout/rollout_controller.h
@@ -59,7 +59,7 @@
         instant progressed;      ///< when `judged` last grew, or the first grant was made
         std::uint64_t bound = 0; ///< unjudged answers allowed now
     };
-    [[nodiscard]] const std::map<std::string, standing>& standings() const noexcept
+    [[nodiscard]] const std::map<std::string, standing>& tracked_rollouts() const noexcept
     {
         return standings_;
     }
--- a/modules/rollout/include/hickorypost/rollout/sequential_test.h
+++ b/modules/rollout/include/hickorypost/rollout/sequential_test.h
@@ -21,7 +21,7 @@
 /// What the counts say.
 struct evidence {
     test_verdict verdict = test_verdict::undecided;
-    double towards_bad = 0; ///< log likelihood ratio; above 0 it leans towards bad
+    double bad_log_likelihood_ratio = 0; ///< log likelihood ratio; above 0 it leans towards bad
 };
 
 /// Wald's sequential probability ratio test of "as bad as the incumbent" against "worse by
--- a/modules/rollout/src/exposure_book.cpp
+++ b/modules/rollout/src/exposure_tracker.cpp
@@ -1,8 +1,8 @@
-#include "hickorypost/rollout/exposure_book.h"
+#include "hickorypost/rollout/exposure_tracker.h"
 
 namespace hickorypost::rollout {
 
-bool exposure_book::take(const model_version& candidate, instant now)
+bool exposure_tracker::take(const model_version& candidate, instant now)
 {
     const auto it = leases_.find(candidate);
     if (it == leases_.end() || it->second.answers == 0 || now >= it->second.lapses ||
@@ -13,21 +13,21 @@
     return true;
 }
 
-void exposure_book::give_back(const model_version& candidate)
+void exposure_tracker::return_answer(const model_version& candidate)
 {
     if (const auto it = leases_.find(candidate); it != leases_.end()) {
         ++it->second.answers;
     }
 }
 
-wire::version_evidence& exposure_book::evidence_of(const model_version& version)
+wire::version_evidence& exposure_tracker::evidence_of(const model_version& version)
 {
     auto& it = evidence_[version];
     it.version = version;
     return it;
 }
 
-void exposure_book::saw_answer(const model_version& version, bool error, bool slow)
+void exposure_tracker::record_answer(const model_version& version, bool error, bool slow)
 {
     auto& it = evidence_of(version);
     ++it.answers;
@@ -35,13 +35,13 @@
     it.slow += slow && !error ? 1U : 0U;
 }
 
-void exposure_book::saw_rating(const model_version& version, bool good)
+void exposure_tracker::record_rating(const model_version& version, bool good)
 {
     auto& it = evidence_of(version);
     ++(good ? it.rated_good : it.rated_bad);
 }
 
-std::optional<wire::exposure_request> exposure_book::due(instant now)
+std::optional<wire::exposure_request> exposure_tracker::due(instant now)
 {
     if (sent_) {
         if (now < sent_at_ + options_.resend_after) {
@@ -64,7 +64,7 @@
     return out;
 }
 
-void exposure_book::take_grant(const wire::exposure_grant& grant, instant now)
+void exposure_tracker::apply_grant(const wire::exposure_grant& grant, instant now)
 {
     if (!sent_ || grant.sequence != sent_->sequence) {
         return; // the answer to a request that was answered before
--- a/modules/rollout/src/rollout_controller.cpp
+++ b/modules/rollout/src/rollout_controller.cpp
@@ -136,8 +136,10 @@
 void rollout_controller::update_bound(standing& it) const
 {
     const test_options options = options_of(it.record);
-    const double errors = judge(it.candidate_errors, it.incumbent_errors, options).towards_bad;
-    const double ratings = judge(it.candidate_ratings, it.incumbent_ratings, options).towards_bad;
+    const double errors =
+        judge(it.candidate_errors, it.incumbent_errors, options).bad_log_likelihood_ratio;
+    const double ratings =
+        judge(it.candidate_ratings, it.incumbent_ratings, options).bad_log_likelihood_ratio;
     if (std::max(errors, ratings) > suspicion) {
         // Ratings come late: while they point to bad, hardly anything more is risked on it.
         it.bound = suspected_bound;
--- a/modules/rollout/src/sequential_test.cpp
+++ b/modules/rollout/src/sequential_test.cpp
@@ -50,8 +50,8 @@
     const double error = 1 - options.confidence;
     const double bound = std::log((1 - error) / error);
     evidence out;
-    out.towards_bad = std::log(mixture);
-    if (out.towards_bad >= bound) {
+    out.bad_log_likelihood_ratio = std::log(mixture);
+    if (out.bad_log_likelihood_ratio >= bound) {
         out.verdict = test_verdict::bad;
     } else if (log_ratio(worse) <= -bound) {
         out.verdict = test_verdict::good;
--- a/modules/rollout/tests/rollout_test.cpp
+++ b/modules/rollout/tests/rollout_test.cpp
@@ -1,4 +1,4 @@
-#include "hickorypost/rollout/exposure_book.h"
+#include "hickorypost/rollout/exposure_tracker.h"
 #include "hickorypost/rollout/rollout_controller.h"
 
 #include <boost/test/unit_test.hpp>
@@ -120,7 +120,7 @@
     it.report(5, 0);
     --it.sequence;
     it.report(5, 0);
-    BOOST_TEST(it.controller.standings().at("r").candidate_errors.answers == 5U);
+    BOOST_TEST(it.controller.tracked_rollouts().at("r").candidate_errors.answers == 5U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/modules/routing/include/hickorypost/routing/router.h
+++ b/modules/routing/include/hickorypost/routing/router.h
@@ -20,7 +20,7 @@
     power_of_two,
 };
 
-std::optional<policy> policy_named(std::string_view name) noexcept;
+std::optional<policy> parse_policy(std::string_view name) noexcept;
 
 /// How time to first token grows with load and prompt, in microseconds.
 struct engine_profile {
@@ -101,7 +101,7 @@
     void started(const backend_id& id, std::uint64_t prefix, instant now);
     void ended(const backend_id& id, const attempt_report& report, instant now);
     /// A load report: how much the backend server runs and queues in all.
-    void take_load(const backend_id& id, std::uint32_t running, std::uint32_t queued);
+    void apply_load_report(const backend_id& id, std::uint32_t running, std::uint32_t queued);
     /// The engine said that it dropped a prefix (cache events come late and with gaps).
     void forget_prefix(const backend_id& id, std::uint64_t prefix);
 
--- a/modules/routing/src/router.cpp
+++ b/modules/routing/src/router.cpp
@@ -38,7 +38,7 @@
 
 } // namespace
 
-std::optional<policy> policy_named(std::string_view name) noexcept
+std::optional<policy> parse_policy(std::string_view name) noexcept
 {
     for (const auto& it : policies) {
         if (it.name == name) {
@@ -354,7 +354,7 @@
     it->slowness += gain * (std::clamp(ratio, least_slowness, most_slowness) - it->slowness);
 }
 
-void router::take_load(const backend_id& id, std::uint32_t running, std::uint32_t queued)
+void router::apply_load_report(const backend_id& id, std::uint32_t running, std::uint32_t queued)
 {
     if (backend_state* it = find(id); it != nullptr) {
         const double all = static_cast<double>(running) + static_cast<double>(queued);
--- a/src/agent_links.cpp
+++ b/src/agent_links.cpp
@@ -187,7 +187,7 @@
         return;
     case wire::message_type::load:
         if (const auto msg = wire::try_decode<wire::load>(body)) {
-            router_.take_load({from.peer().node, msg->backend}, msg->running, msg->queued);
+            router_.apply_load_report({from.peer().node, msg->backend}, msg->running, msg->queued);
         }
         return;
     case wire::message_type::fresh_query:
--- a/src/control_operators.cpp
+++ b/src/control_operators.cpp
@@ -327,7 +327,7 @@
                           {"backends", backends}});
     }
     json rollouts = json::array();
-    for (const auto& [name, it] : rollouts_.standings()) {
+    for (const auto& [name, it] : rollouts_.tracked_rollouts()) {
         rollouts.push_back({{"name", name},
                             {"model", it.record.model},
                             {"from", it.record.from},
--- a/src/entry_role.cpp
+++ b/src/entry_role.cpp
@@ -19,7 +19,7 @@
 
 entry_role::entry_role(const runtime& env)
     : env_{env}, config_{*env.config.entry},
-      router_{{.how = routing::policy_named(config_.routing_policy)
+      router_{{.how = routing::parse_policy(config_.routing_policy)
                           .value_or(routing::policy::expected_time)},
               env.random},
       retries_{{.ratio = config_.retry_ratio}}, cascades_{env.random},
@@ -50,7 +50,7 @@
         agents_.take_directory(reply);
     };
     out.granted = [this](const wire::exposure_grant& grant) {
-        exposure_.take_grant(grant, env_.now());
+        exposure_.apply_grant(grant, env_.now());
     };
     out.link_up = [](net::link&) {};
     out.ask_peers = [this](const wire::fresh_query& query) { agents_.ask_any(query); };
--- a/src/entry_role.h
+++ b/src/entry_role.h
@@ -37,7 +37,7 @@
     routing::router router_;
     routing::retry_budget retries_;
     routing::cascade_policy cascades_;
-    rollout::exposure_book exposure_;
+    rollout::exposure_tracker exposure_;
     admission::rate_limiter limiter_;
     dispatch::session_cache sessions_;
     rater ratings_;
--- a/src/gateway/backend_feed.cpp
+++ b/src/gateway/backend_feed.cpp
@@ -39,11 +39,12 @@
     std::vector<node_id> out;
     if (!has_disk_) {
         // Messages from other hosts came through the core, which has broadcast them.
-        return from == mesh_.self() ? around_.to_here : out;
+        return from == mesh_.self() ? around_.upstream_hosts : out;
     }
     const bool from_core = from != mesh_.self() && mesh_.is_core(from);
     for (const auto& host : mesh_.linked()) {
-        const bool wanted = around_.from_here.contains(host) || (mesh_.is_core(host) && !from_core);
+        const bool wanted =
+            around_.downstream_hosts.contains(host) || (mesh_.is_core(host) && !from_core);
         if (wanted && host != from) {
             out.push_back(host);
         }
@@ -246,21 +247,21 @@
         return;
     }
     const auto best = best_attachments();
-    for (const auto& host : around_.to_here) {
+    for (const auto& host : around_.upstream_hosts) {
         if (std::find(best.begin(), best.end(), host) == best.end()) {
             env_.log->info("no longer attached to host {}", host);
             mesh_.send(host, wire::attach{false});
         }
     }
     for (const auto& host : best) {
-        if (std::find(around_.to_here.begin(), around_.to_here.end(), host) ==
-            around_.to_here.end()) {
+        if (std::find(around_.upstream_hosts.begin(), around_.upstream_hosts.end(), host) ==
+            around_.upstream_hosts.end()) {
             env_.log->info("attached to host {}", host);
             mesh_.send(host, wire::attach{true});
             send_all(host);
         }
     }
-    around_.to_here = best;
+    around_.upstream_hosts = best;
     loads_.follow_attachments();
 }
 
@@ -274,9 +275,9 @@
 
 void backend_feed::on_link_down(const node_id& host)
 {
-    around_.from_here.erase(host);
+    around_.downstream_hosts.erase(host);
     loads_.on_host_gone(host);
-    std::erase(around_.to_here, host);
+    std::erase(around_.upstream_hosts, host);
     choose_attachments();
 }
 
@@ -285,11 +286,11 @@
     switch (type) {
     case wire::message_type::attach:
         if (const auto it = wire::try_decode<wire::attach>(body)) {
-            around_.from_here.erase(from);
+            around_.downstream_hosts.erase(from);
             loads_.on_host_gone(from);
             if (it->on) {
-                loads_.owe_whole(from);
-                around_.from_here.insert(from);
+                loads_.require_full_report(from);
+                around_.downstream_hosts.insert(from);
                 send_all(from);
             }
         }
--- a/src/gateway/control_plane.cpp
+++ b/src/gateway/control_plane.cpp
@@ -337,7 +337,7 @@
 {
     bool learned = false;
     for (const auto& it : msg.core) {
-        learned = mesh_.learn_core(it) || learned;
+        learned = mesh_.add_core_host(it) || learned;
     }
     if (learned) {
         send_notes();
--- a/src/gateway/gateway_role.cpp
+++ b/src/gateway/gateway_role.cpp
@@ -99,7 +99,7 @@
                   env_.log->warn("backend server {} names a limit that cannot be read: ignored",
                                  backend);
               },
-              [this] { permits_->ask_soon(); }},
+              [this] { permits_->schedule_permit_requests(); }},
       journal_{env, config_.log_requests_per_second},
       services_{directory_,
                 balancer_,
--- a/src/gateway/limit_feed.cpp
+++ b/src/gateway/limit_feed.cpp
@@ -23,7 +23,7 @@
 {
 }
 
-void limit_feed::ask_soon()
+void limit_feed::schedule_permit_requests()
 {
     if (ask_timer_.armed()) {
         return;
--- a/src/gateway/limit_feed.h
+++ b/src/gateway/limit_feed.h
@@ -17,7 +17,7 @@
                std::function<node_id()> coordinator_host);
 
     /// Sends the permit requests of `limits`, at a bounded rate.
-    void ask_soon();
+    void schedule_permit_requests();
     /// False: not a message of this kind.
     bool on_message(const node_id& from, wire::message_type type, std::string_view body);
 
--- a/src/gateway/load_feed.cpp
+++ b/src/gateway/load_feed.cpp
@@ -35,7 +35,7 @@
 
 void load_feed::take_report(const node_id& from, const wire::load_report& report)
 {
-    const bool from_attached = around_.from_here.contains(from);
+    const bool from_attached = around_.downstream_hosts.contains(from);
     const bool expected = has_disk_ ? from_attached || mesh_.is_core(from) : from == front_;
     if (!expected) {
         return; // a host that this one has just left
@@ -72,7 +72,7 @@
 {
     if (has_disk_) {
         update_balancer(all_.replace(from, loads));
-        if (around_.from_here.contains(from)) {
+        if (around_.downstream_hosts.contains(from)) {
             own_part_.replace(from, loads);
         }
         schedule_flush();
@@ -107,7 +107,7 @@
     }
 }
 
-void load_feed::owe_whole(const node_id& host)
+void load_feed::require_full_report(const node_id& host)
 {
     owed_whole_.insert(host);
     schedule_flush();
@@ -115,7 +115,8 @@
 
 void load_feed::follow_attachments()
 {
-    const node_id now_front = around_.to_here.empty() ? node_id{} : around_.to_here.front();
+    const node_id now_front =
+        around_.upstream_hosts.empty() ? node_id{} : around_.upstream_hosts.front();
     if (has_disk_ || now_front == front_) {
         return;
     }
@@ -124,7 +125,7 @@
     }
     front_ = now_front;
     owed_whole_.clear();
-    owe_whole(front_);
+    require_full_report(front_);
 }
 
 void load_feed::schedule_flush()
@@ -151,7 +152,7 @@
     for (const auto& host : mesh_.linked()) {
         if (mesh_.is_core(host)) {
             tell(host, own_part_, own_moved);
-        } else if (around_.from_here.contains(host)) {
+        } else if (around_.downstream_hosts.contains(host)) {
             tell(host, all_, all_moved);
         }
     }
@@ -218,7 +219,7 @@
         owed_whole_ = {front_};
     } else {
         for (const auto& host : mesh_.linked()) {
-            if (mesh_.is_core(host) || around_.from_here.contains(host)) {
+            if (mesh_.is_core(host) || around_.downstream_hosts.contains(host)) {
                 owed_whole_.insert(host);
             }
         }
--- a/src/gateway/load_feed.h
+++ b/src/gateway/load_feed.h
@@ -14,8 +14,9 @@
 
 /// Which hosts get news from which.
 struct attachments {
-    std::set<node_id> from_here;  ///< hosts that get them from this one, which has a disk
-    std::vector<node_id> to_here; ///< where this host, which has none, gets them from, best first
+    std::set<node_id> downstream_hosts; ///< hosts that get them from this one, which has a disk
+    std::vector<node_id>
+        upstream_hosts; ///< where this host, which has none, gets them from, best first
 };
 
 /// Tells the hosts who has how much work on which backend server, within milliseconds of a change
@@ -31,7 +32,7 @@
     void take_report(const node_id& from, const wire::load_report& report);
     void on_host_gone(const node_id& host);
     /// `host` has just begun to listen.
-    void owe_whole(const node_id& host);
+    void require_full_report(const node_id& host);
     /// Call after each change of `attachments`, and about ten times a second.
     void follow_attachments();
     void tick();
--- a/src/gateway/peer_mesh.cpp
+++ b/src/gateway/peer_mesh.cpp
@@ -85,7 +85,7 @@
     }
 }
 
-bool peer_mesh::learn_core(const wire::host_info& host)
+bool peer_mesh::add_core_host(const wire::host_info& host)
 {
     if (!core_.emplace(host.host, host.failure_domain).second) {
         return false;
@@ -118,7 +118,7 @@
 {
     const auto& peer = it.peer();
     if (peer.role == wire::node_role::control) {
-        learn_core({peer.node, peer.failure_domain});
+        add_core_host({peer.node, peer.failure_domain});
     }
     env_.log->info("link to host {} is up", peer.node);
     hooks_.up(peer.node);
--- a/src/gateway/peer_mesh.h
+++ b/src/gateway/peer_mesh.h
@@ -36,7 +36,7 @@
     /// Dials hosts about which only the address is known.
     void dial_seeds(const std::vector<node_id>& seeds);
     /// Learns of a host with a disk; true if it is new.
-    bool learn_core(const wire::host_info& host);
+    bool add_core_host(const wire::host_info& host);
 
     template <class M>
     bool send(const node_id& to, const M& message)
--- a/tests/proof/world_nodes.cpp
+++ b/tests/proof/world_nodes.cpp
@@ -37,8 +37,8 @@
     entry_node& it = *slot;
     it.router = std::make_unique<routing::router>(routing::router_options{}, net_.random());
     it.cascades = std::make_unique<routing::cascade_policy>(net_.random());
-    it.exposure = std::make_unique<rollout::exposure_book>(rollout::book_options{}, net_.random(),
-                                                           it.life % 1'000'000);
+    it.exposure = std::make_unique<rollout::exposure_tracker>(rollout::exposure_options{},
+                                                              net_.random(), it.life % 1'000'000);
     it.services = std::make_unique<dispatch::request_services>(services_of(it));
     const auto tell_listeners = [this, name](const node_id& agent,
                                              const dispatch::attempt_event& event) {
--- a/tests/proof/world_nodes.h
+++ b/tests/proof/world_nodes.h
@@ -45,7 +45,7 @@
     std::unique_ptr<routing::router> router;
     routing::retry_budget retries{{}};
     std::unique_ptr<routing::cascade_policy> cascades;
-    std::unique_ptr<rollout::exposure_book> exposure;
+    std::unique_ptr<rollout::exposure_tracker> exposure;
     admission::rate_limiter limiter;
     dispatch::session_cache sessions{10'000};
     telemetry::metrics metrics;
--- a/tools/experiment/fleet_run.cpp
+++ b/tools/experiment/fleet_run.cpp
@@ -313,7 +313,7 @@
         // Load rides on answers; the engines' own figures lag by the scenario's setting.
         const micros lag{static_cast<std::int64_t>(scenario_.report_lag_ms * us_per_ms)};
         at(lag, [this, entry = r.entry, replica = r.replica, running, queued] {
-            entries_[entry]->router.take_load(id_of(replica), running, queued);
+            entries_[entry]->router.apply_load_report(id_of(replica), running, queued);
         });
         ended(id, false, true);
         if (r.counted) {
@@ -336,7 +336,7 @@
             const auto queued = static_cast<std::uint32_t>(replicas_[n].queue.waiting());
             at(lag, [this, n, running, queued] {
                 for (auto& entry : entries_) {
-                    entry->router.take_load(id_of(n), running, queued);
+                    entry->router.apply_load_report(id_of(n), running, queued);
                 }
             });
         }
--- a/tools/experiment/rollout_run.cpp
+++ b/tools/experiment/rollout_run.cpp
@@ -1,6 +1,6 @@
 #include "rollout_run.h"
 
-#include "hickorypost/rollout/exposure_book.h"
+#include "hickorypost/rollout/exposure_tracker.h"
 #include "hickorypost/rollout/rollout_controller.h"
 
 #include <algorithm>
@@ -144,9 +144,9 @@
     {
         const auto& version = it.on_new ? new_version : old_version;
         if (it.rating) {
-            book_.saw_rating(version, !it.bad);
+            book_.record_rating(version, !it.bad);
         } else {
-            book_.saw_answer(version, false, false); // a bad answer shows only in its rating
+            book_.record_answer(version, false, false); // a bad answer shows only in its rating
         }
         if (how_ != rollout_policy::fixed_steps || !it.rating || !it.on_new) {
             return;
@@ -169,7 +169,7 @@
             controller_.follow(state_);
         }
         if (const auto request = book_.due(at(now))) {
-            book_.take_grant(controller_.take("e1", *request, at(now)), at(now));
+            book_.apply_grant(controller_.take("e1", *request, at(now)), at(now));
         }
         const auto* progress = state_.progress_of("r");
         if (progress == nullptr) {
@@ -189,7 +189,7 @@
     records::records_state state_;
     std::uint64_t index_ = 0;
     bool follow_due_ = false;
-    rollout::exposure_book book_;
+    rollout::exposure_tracker book_;
     rollout::rollout_controller controller_;
     std::priority_queue<due_event> due_;
     std::size_t fixed_rated_ = 0;
