--- a/modules/rollout/include/hickorypost/rollout/exposure_tracker.h
+++ b/modules/rollout/include/hickorypost/rollout/exposure_tracker.h
@@ -9,32 +9,36 @@
 namespace hickorypost::rollout {
 
 struct exposure_options {
-    /// A grant that is not used within this lapses; well under the controller's lifetime of it.
+    /// An unused grant expires after this time. Must be well below the controller's own
+    /// `grant_lifetime`, so that no answer starts on a grant that the controller has written off.
     millis grant_lifetime{4000};
     millis report_period{200};
     millis resend_after{1000};
 };
 
-/// An entry's side of roll-outs: spends granted answers on candidates and gathers evidence.
-/// Sans I/O.
+/// The entry's part of roll-outs: spends granted answers on candidate versions and collects
+/// evidence about the answers of each version. Does no I/O.
 class exposure_tracker {
 public:
-    /// `first_sequence` must be higher than any that this entry used in an earlier life, or its
-    /// first requests would be taken for resent ones; a wall clock's milliseconds will do.
+    /// `first_sequence` must be higher than every sequence number that this entry used before a
+    /// restart, otherwise the controller takes its first requests for resent ones. The wall clock
+    /// in milliseconds is sufficient.
     exposure_tracker(exposure_options options, random_fn random, std::uint64_t first_sequence)
         : options_{options}, random_{std::move(random)}, sequence_{first_sequence}
     {
     }
 
-    /// May the next answer of this model go to the candidate? Spends one granted answer if so.
+    /// Returns whether the model's next answer may come from the candidate. If so, spends one
+    /// granted answer.
     bool take(const model_version& candidate, instant now);
-    /// The answer did not start after all.
+    /// Returns a granted answer that was taken but did not start.
     void return_answer(const model_version& candidate);
 
     void record_answer(const model_version& version, bool error, bool slow);
     void record_rating(const model_version& version, bool good);
 
-    /// The request to send now, if one is due. The same one is sent again until it is answered.
+    /// Returns the request to send now, if one is due. An unanswered request is sent again after
+    /// `resend_after`.
     std::optional<wire::exposure_request> due(instant now);
     void apply_grant(const wire::exposure_grant& grant, instant now);
 
@@ -42,7 +46,7 @@
     struct lease {
         std::uint64_t answers = 0;
         double share = 0;
-        instant lapses;
+        instant expires;
     };
 
     wire::version_evidence& evidence_of(const model_version& version);
--- a/modules/rollout/include/hickorypost/rollout/rollout_controller.h
+++ b/modules/rollout/include/hickorypost/rollout/rollout_controller.h
@@ -9,86 +9,94 @@
 namespace hickorypost::rollout {
 
 struct controller_options {
-    /// The exposure bound grows by this factor per bound's worth of answers judged without alarm.
+    /// Growth factor of the exposure bound each time that as many answers as the bound have been
+    /// judged without a sign of regression.
     double growth = 2.0;
-    /// A grant is spent or given back within this time; an entry that vanishes keeps it no longer.
+    /// A grant is spent or returned within this time. After this long without a request from an
+    /// entry, its outstanding grants are written off.
     millis grant_lifetime{10'000};
-    /// Ratings come for a sample only. When none has come for this long, the answers that wait for
-    /// one are taken for judged by their errors alone, or the roll-out would stand still for ever.
+    /// Only a sample of the answers is rated. If no answer has been judged for this long, the
+    /// answers that wait for a rating count as judged by their errors alone, otherwise the
+    /// roll-out would never proceed.
     millis rating_wait{20'000};
-    /// Share of the model's traffic at most while the candidate is still on trial.
+    /// Maximum share of the model's traffic that goes to the candidate until the roll-out ends.
     double trial_share = 0.5;
+    /// Upper limit of the exposure bound, in answers.
     std::uint64_t max_bound = 100'000;
 };
 
-/// Runs the roll-outs on the control leader. Exposure is bounded by construction: entries start an
-/// answer on a candidate only against a grant, and no more answers are granted than have been
-/// judged plus a bound that grows with good evidence. Sans I/O.
+/// Runs the roll-outs on the leader of the control log. Exposure is bounded by construction:
+/// entries start an answer on a candidate only against a grant, and the answers granted never
+/// exceed the answers judged plus a bound that grows with good evidence. Does no I/O.
 ///
-/// Decisions leave as `rollout_progress` to be committed. `granted` is committed ahead of the
-/// grants that it covers, so that a new leader never grants the same answers twice.
+/// Decisions are passed to `commit` as `rollout_progress`. `granted` is committed before the grants
+/// that it covers are made, so that a new leader never grants the same answers twice.
 class rollout_controller {
 public:
     using commit_fn = std::function<void(const records::rollout_progress&)>;
 
     rollout_controller(controller_options options, wall_clock_fn wall, commit_fn commit);
 
-    /// Follows the records: new roll-outs begin, amended ones begin anew, paused ones stand still.
+    /// Applies the committed records: starts new roll-outs, restarts amended ones and pauses or
+    /// resumes those whose record says so.
     void follow(const records::records_state& state);
-    /// This replica has just become leader: what was granted but never judged counts as unjudged.
+    /// Call when this replica has become leader. Answers granted by earlier leaders count as
+    /// settled; new grants are made only after the earlier ones have expired.
     void start_leading(const records::records_state& state, instant now);
     void stop_leading();
 
-    /// Evidence of an entry, and the answers it may start next.
+    /// Processes an entry's evidence and returns the answers that the entry may start next.
     wire::exposure_grant take(const node_id& entry, const wire::exposure_request& request,
                               instant now);
     void tick(instant now);
 
-    /// What a roll-out stands at, for `status`.
-    struct standing {
+    /// State of one roll-out; shown by the verb `status`.
+    struct tracked_rollout {
         records::rollout_record record;
         records::rollout_progress progress; ///< as committed
         tally candidate_errors;
         tally incumbent_errors;
         tally candidate_ratings;
         tally incumbent_ratings;
-        std::uint64_t granted = 0; ///< in this leadership and committed before
-        std::uint64_t settled = 0; ///< granted by earlier leaders; run out before this one grants
-        std::uint64_t judged = 0;  ///< `settled` and what this leader has judged
-        std::uint64_t last_judged = 0;
-        instant progressed;      ///< when `judged` last grew, or the first grant was made
-        std::uint64_t bound = 0; ///< unjudged answers allowed now
+        std::uint64_t granted = 0; ///< answers granted, by earlier leaders too
+        /// Answers that count as judged without evidence: granted by earlier leaders, whose grants
+        /// expire before this one grants, or not rated within `rating_wait`.
+        std::uint64_t settled = 0;
+        std::uint64_t judged = 0;      ///< `settled` plus the answers that this leader has judged
+        std::uint64_t last_judged = 0; ///< value of `judged` at `last_progress`
+        instant last_progress;         ///< when `judged` last grew, or the first grant was made
+        std::uint64_t bound = 0;       ///< unjudged answers that may be outstanding now
     };
-    [[nodiscard]] const std::map<std::string, standing>& tracked_rollouts() const noexcept
+    [[nodiscard]] const std::map<std::string, tracked_rollout>& tracked_rollouts() const noexcept
     {
-        return standings_;
+        return tracked_rollouts_;
     }
 
 private:
-    struct entry_account {
+    struct entry_state {
         std::uint64_t last_sequence = 0;
         wire::exposure_grant last_grant;
-        std::map<std::string, std::uint64_t> outstanding; ///< by roll-out
+        std::map<std::string, std::uint64_t> outstanding; ///< granted answers by roll-out
         instant last_seen;
     };
 
-    void learn(const wire::version_evidence& evidence, entry_account& from);
-    void decide(standing& it);
-    void watch(standing& it);
-    void finish(standing& it, records::rollout_state state, std::string reason);
-    void reserve(standing& it, std::uint64_t upto);
-    std::uint64_t grant(standing& it, entry_account& to);
-    static void update_judged(standing& it);
-    void unblock(standing& it, instant now) const;
-    void update_bound(standing& it) const;
+    void add_evidence(const wire::version_evidence& evidence, entry_state& from);
+    void evaluate(tracked_rollout& it);
+    void monitor_completed(tracked_rollout& it);
+    void finish(tracked_rollout& it, records::rollout_state state, std::string reason);
+    void commit_reservation(tracked_rollout& it, std::uint64_t granted);
+    std::uint64_t grant(tracked_rollout& it, entry_state& to);
+    static void update_judged(tracked_rollout& it);
+    void settle_unrated(tracked_rollout& it, instant now) const;
+    void update_bound(tracked_rollout& it) const;
 
     controller_options options_;
     wall_clock_fn wall_;
     commit_fn commit_;
     bool leading_ = false;
-    instant granting_from_; ///< grants of an earlier leader have run out by then
-    std::map<std::string, standing> standings_;
-    std::map<node_id, entry_account> entries_;
+    instant granting_from_; ///< grants of an earlier leader have expired by then
+    std::map<std::string, tracked_rollout> tracked_rollouts_;
+    std::map<node_id, entry_state> entries_;
 };
 
 } // namespace hickorypost::rollout
--- a/modules/rollout/src/exposure_tracker.cpp
+++ b/modules/rollout/src/exposure_tracker.cpp
@@ -5,7 +5,7 @@
 bool exposure_tracker::take(const model_version& candidate, instant now)
 {
     const auto it = leases_.find(candidate);
-    if (it == leases_.end() || it->second.answers == 0 || now >= it->second.lapses ||
+    if (it == leases_.end() || it->second.answers == 0 || now >= it->second.expires ||
         unit_random(random_) >= it->second.share) {
         return false;
     }
@@ -67,19 +67,20 @@
 void exposure_tracker::apply_grant(const wire::exposure_grant& grant, instant now)
 {
     if (!sent_ || grant.sequence != sent_->sequence) {
-        return; // the answer to a request that was answered before
+        return; // a second reply to a request that was already answered
     }
     sent_.reset();
-    // What is left of earlier grants is kept: the controller still counts it against us.
+    // Unspent answers of earlier grants are kept, since the controller still counts them as
+    // outstanding for this entry.
     std::map<model_version, lease> next;
     for (const auto& it : grant.leases) {
-        lease& to = next[it.version];
-        to.answers = it.answers;
-        to.share = it.share;
-        to.lapses = now + options_.grant_lifetime;
-        if (const auto old = leases_.find(it.version);
-            old != leases_.end() && now < old->second.lapses) {
-            to.answers += old->second.answers;
+        lease& entry_lease = next[it.version];
+        entry_lease.answers = it.answers;
+        entry_lease.share = it.share;
+        entry_lease.expires = now + options_.grant_lifetime;
+        if (const auto previous = leases_.find(it.version);
+            previous != leases_.end() && now < previous->second.expires) {
+            entry_lease.answers += previous->second.answers;
         }
     }
     leases_ = std::move(next);
--- a/modules/rollout/src/sequential_test.cpp
+++ b/modules/rollout/src/sequential_test.cpp
@@ -8,52 +8,56 @@
 
 namespace {
 
-constexpr double highest_ratio = 0.999;
-/// Answers that the incumbent's assumed floor counts for until its own ratio is known.
+constexpr double max_ratio = 0.999;
+/// Number of answers that the incumbent's prior ratio, `floor_ratio`, is weighted as.
 constexpr double prior_answers = 20;
-/// Ratios of bad answers that are tested for, in multiples of the limit beyond the old version's.
-constexpr std::array alternatives{1.0, 4.0, 10.0};
-/// Keeps the mixture within a double; far past any bound.
-constexpr double largest_log = 500;
+/// Alternatives of the test: increases over the incumbent's ratio, in multiples of `max_worse`.
+constexpr std::array alternative_multiples{1.0, 4.0, 10.0};
+/// Prevents overflow of exp(); far beyond every decision bound.
+constexpr double max_log_ratio = 500;
 
 } // namespace
 
 evidence judge(const tally& candidate, const tally& incumbent, const test_options& options)
 {
-    const double seen = static_cast<double>(incumbent.answers);
+    const double incumbent_answers = static_cast<double>(incumbent.answers);
     const double ratio =
         (static_cast<double>(incumbent.bad) + options.floor_ratio * prior_answers) /
-        (seen + prior_answers);
-    // A few bad answers of the incumbent by chance must not make the candidate's bar meaningless,
-    // nor none at all make a single bad answer fatal: the ratio carries its own uncertainty.
-    const double spread = std::sqrt(std::max(ratio * (1 - ratio), 1e-6) / (seen + prior_answers));
-    const double as_good = std::clamp(ratio + spread, options.floor_ratio, highest_ratio);
-    const double worse = std::min(as_good + options.max_worse, highest_ratio);
-    if (worse <= as_good) {
+        (incumbent_answers + prior_answers);
+    // Adds one standard error to the incumbent's ratio. A few bad answers of the
+    // incumbent by chance must not make the limit meaningless, and an incumbent without bad answers
+    // must not make a single bad answer of the candidate decisive.
+    const double standard_error =
+        std::sqrt(std::max(ratio * (1 - ratio), 1e-6) / (incumbent_answers + prior_answers));
+    const double baseline_ratio =
+        std::clamp(ratio + standard_error, options.floor_ratio, max_ratio);
+    const double regressed_ratio = std::min(baseline_ratio + options.max_worse, max_ratio);
+    if (regressed_ratio <= baseline_ratio) {
         return {};
     }
     const double bad = static_cast<double>(candidate.bad);
     const double good = static_cast<double>(candidate.answers) - bad;
-    const auto log_ratio = [&](double ratio_if_worse) {
-        return bad * std::log(ratio_if_worse / as_good) +
-               good * std::log((1 - ratio_if_worse) / (1 - as_good));
+    const auto log_likelihood_ratio = [&](double alternative_ratio) {
+        return bad * std::log(alternative_ratio / baseline_ratio) +
+               good * std::log((1 - alternative_ratio) / (1 - baseline_ratio));
     };
-    // Against being bad a mixture of alternatives is weighed: a version that is far worse than the
-    // limit shows it much sooner than one that is just beyond. The mean of likelihood ratios keeps
-    // the error bound of a single one.
+    // The verdict `bad` is based on a mixture of alternatives, which detects a version far
+    // beyond the limit much sooner than the limit alone would. The mean of several likelihood
+    // ratios keeps the error bound of a single one.
     double mixture = 0;
-    for (const double steps : alternatives) {
-        mixture += std::exp(std::min(
-            log_ratio(std::min(as_good + steps * options.max_worse, highest_ratio)), largest_log));
+    for (const double multiple : alternative_multiples) {
+        mixture += std::exp(std::min(log_likelihood_ratio(std::min(
+                                         baseline_ratio + multiple * options.max_worse, max_ratio)),
+                                     max_log_ratio));
     }
-    mixture /= static_cast<double>(alternatives.size());
-    const double error = 1 - options.confidence;
-    const double bound = std::log((1 - error) / error);
+    mixture /= static_cast<double>(alternative_multiples.size());
+    const double error_probability = 1 - options.confidence;
+    const double decision_bound = std::log((1 - error_probability) / error_probability);
     evidence out;
     out.bad_log_likelihood_ratio = std::log(mixture);
-    if (out.bad_log_likelihood_ratio >= bound) {
+    if (out.bad_log_likelihood_ratio >= decision_bound) {
         out.verdict = test_verdict::bad;
-    } else if (log_ratio(worse) <= -bound) {
+    } else if (log_likelihood_ratio(regressed_ratio) <= -decision_bound) {
         out.verdict = test_verdict::good;
     }
     return out;
--- a/modules/rollout/tests/rollout_test.cpp
+++ b/modules/rollout/tests/rollout_test.cpp
@@ -11,8 +11,8 @@
 const model_version candidate{"m", "2"};
 const model_version incumbent{"m", "1"};
 
-/// A controller whose decisions are committed at once.
-struct trial {
+/// A leading controller whose decisions are committed at once.
+struct controller_fixture {
     records::records_state state;
     std::uint64_t index = 0;
     rollout_controller controller{{},
@@ -23,7 +23,7 @@
     instant now{millis{100'000}};
     std::uint64_t sequence = 0;
 
-    trial()
+    controller_fixture()
     {
         submit("model", "m",
                R"({"schema":1,"kind":"model","name":"m","number":1,"default":"1",
@@ -44,7 +44,7 @@
         change.document = document;
         state.apply(++index, 0, {change, std::nullopt});
     }
-    /// Reports answers of both versions and gives what may be started next.
+    /// Reports answers of both versions and returns the number of answers granted.
     std::uint64_t report(std::uint64_t answers, std::uint64_t errors)
     {
         wire::exposure_request request;
@@ -61,10 +61,11 @@
 
 BOOST_AUTO_TEST_SUITE(rollout)
 
-// Nothing is reported back. However often an entry asks, it gets no more answers than the bound.
-BOOST_AUTO_TEST_CASE(unjudged_answers_never_pass_the_bound)
+// An entry requests grants repeatedly without reporting any answer: the answers granted must not
+// exceed the bound.
+BOOST_AUTO_TEST_CASE(unjudged_answers_never_exceed_the_bound)
 {
-    trial it;
+    controller_fixture it;
     std::uint64_t granted = 0;
     for (int n = 0; n < 50; ++n) {
         granted += it.report(0, 0);
@@ -72,9 +73,9 @@
     BOOST_TEST(granted == 10U);
 }
 
-BOOST_AUTO_TEST_CASE(a_bad_version_is_halted_and_returned_from)
+BOOST_AUTO_TEST_CASE(a_bad_version_is_halted_and_withdrawn)
 {
-    trial it;
+    controller_fixture it;
     std::uint64_t open = 0;
     for (int n = 0; n < 40; ++n) {
         open = it.report(open, open);
@@ -87,7 +88,7 @@
 
 BOOST_AUTO_TEST_CASE(a_good_version_completes)
 {
-    trial it;
+    controller_fixture it;
     std::uint64_t open = 0;
     for (int n = 0; n < 100; ++n) {
         open = it.report(open, 0);
@@ -95,11 +96,11 @@
     BOOST_TEST(it.state.current_version("m") == "2");
 }
 
-// The leader is lost in the middle of a roll-out. The next one knows what was granted at most,
-// waits until that has run out, and starts with the smallest bound again.
-BOOST_AUTO_TEST_CASE(a_new_leader_grants_nothing_until_old_grants_have_lapsed)
+// The leader fails during a roll-out. The next leader knows only the reserved maximum of granted
+// answers: it must wait until all grants have expired and start with the smallest bound.
+BOOST_AUTO_TEST_CASE(a_new_leader_grants_nothing_until_old_grants_have_expired)
 {
-    trial it;
+    controller_fixture it;
     it.report(0, 0);
     it.controller.start_leading(it.state, it.now);
     BOOST_TEST(it.report(0, 0) == 0U);
@@ -112,10 +113,11 @@
     BOOST_TEST(granted > 0U);
 }
 
-// The answer to an entry's report is lost and the report is sent again: it must count once.
+// The reply to an entry's report is lost and the entry sends the report again: its evidence must
+// count once.
 BOOST_AUTO_TEST_CASE(resent_evidence_counts_once)
 {
-    trial it;
+    controller_fixture it;
     it.report(0, 0);
     it.report(5, 0);
     --it.sequence;
