--- a/modules/admission/src/admission_queue.cpp
+++ b/modules/admission/src/admission_queue.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/// Weight of the newest service time in the running mean.
+/// Weight of the newest service time in the moving average.
 constexpr double service_time_gain = 0.1;
-constexpr millis shortest_retry{50};
+constexpr millis min_retry_after{50};
 
 } // namespace
 
@@ -16,23 +16,23 @@
 
 micros admission_queue::service_time(std::size_t cls) const
 {
-    const micros known = queues_[cls].service_time;
-    return known > micros{0} ? known : options_.first_service_time;
+    const micros measured = queues_[cls].service_time;
+    return measured > micros{0} ? measured : options_.first_service_time;
 }
 
 micros admission_queue::estimated_wait(wire::priority urgency) const
 {
-    // Work of the same or a more urgent class goes first; so does what already runs, when no slot
-    // is free.
+    // Waiting jobs of the same or a more urgent class run first. If no slot is free, the jobs that
+    // run now must finish as well.
     const std::size_t own = index_of(urgency);
-    std::int64_t ahead = 0;
+    std::int64_t work_ahead = 0;
     for (std::size_t cls = 0; cls <= own; ++cls) {
-        ahead += static_cast<std::int64_t>(queues_[cls].waiting) * service_time(cls).count();
+        work_ahead += static_cast<std::int64_t>(queues_[cls].waiting) * service_time(cls).count();
     }
     const std::int64_t slots = std::max<std::int64_t>(1, options_.slots);
     const bool busy = running_ >= options_.slots;
     const std::int64_t residual = busy ? service_time(own).count() / (2 * slots) : 0;
-    return micros{ahead / slots + residual};
+    return micros{work_ahead / slots + residual};
 }
 
 offer_answer admission_queue::offer(const waiting_job& job, instant now)
@@ -41,11 +41,11 @@
         return {offer_verdict::past_deadline, millis{0}};
     }
     const micros wait = estimated_wait(job.urgency);
-    if (now + wait >= job.deadline || where_.size() >= options_.max_waiting) {
-        // Queueing it would only make it late and everyone behind it later; said at once, the
-        // caller can go elsewhere or come back when the queue has drained.
+    if (now + wait >= job.deadline || class_of_.size() >= options_.max_waiting) {
+        // A queued job would miss its deadline and delay the jobs behind it. After an immediate
+        // refusal, the caller can try another backend server or retry when the queue has drained.
         const millis retry = std::chrono::duration_cast<millis>(wait);
-        return {offer_verdict::overloaded, std::max(retry, shortest_retry)};
+        return {offer_verdict::overloaded, std::max(retry, min_retry_after)};
     }
     class_queue& queue = queues_[index_of(job.urgency)];
     account_queue& account = queue.accounts[job.account];
@@ -53,7 +53,7 @@
     account.finish_tag = start + 1.0 / std::max(1U, job.weight);
     account.jobs.emplace_back(start, job);
     ++queue.waiting;
-    where_[job.attempt] = index_of(job.urgency);
+    class_of_[job.attempt] = index_of(job.urgency);
     return {};
 }
 
@@ -72,24 +72,24 @@
 
 std::optional<std::size_t> admission_queue::pick_class()
 {
-    std::optional<std::size_t> first;
+    std::optional<std::size_t> selected;
     for (std::size_t cls = 0; cls < classes; ++cls) {
         if (queues_[cls].waiting == 0 || !may_start(cls)) {
             continue;
         }
-        if (!first) {
-            first = cls;
+        if (!selected) {
+            selected = cls;
             continue;
         }
-        if (++queues_[cls].passed_over >= options_.turns_before_lower) {
-            first = cls;
+        if (++queues_[cls].skipped_turns >= options_.max_skipped_turns) {
+            selected = cls;
             break;
         }
     }
-    if (first) {
-        queues_[*first].passed_over = 0;
+    if (selected) {
+        queues_[*selected].skipped_turns = 0;
     }
-    return first;
+    return selected;
 }
 
 waiting_job admission_queue::take_from(class_queue& queue)
@@ -119,7 +119,7 @@
         return std::nullopt;
     }
     waiting_job job = take_from(queues_[*cls]);
-    where_.erase(job.attempt);
+    class_of_.erase(job.attempt);
     ++running_;
     running_bulk_ += job.urgency == wire::priority::bulk ? 1U : 0U;
     return job;
@@ -146,12 +146,12 @@
 
 bool admission_queue::cancel(attempt_id attempt)
 {
-    const auto found = where_.find(attempt);
-    if (found == where_.end()) {
+    const auto found = class_of_.find(attempt);
+    if (found == class_of_.end()) {
         return false;
     }
     class_queue& queue = queues_[found->second];
-    where_.erase(found);
+    class_of_.erase(found);
     for (auto& [name, account] : queue.accounts) {
         const auto removed = std::erase_if(
             account.jobs, [&](const auto& it) { return it.second.attempt == attempt; });
@@ -169,17 +169,17 @@
     for (auto& queue : queues_) {
         for (auto& [name, account] : queue.accounts) {
             std::erase_if(account.jobs, [&](const auto& it) {
-                const bool dead = it.second.deadline <= now;
-                if (dead) {
+                const bool expired = it.second.deadline <= now;
+                if (expired) {
                     out.push_back(it.second);
                 }
-                return dead;
+                return expired;
             });
         }
     }
     for (const auto& it : out) {
         --queues_[index_of(it.urgency)].waiting;
-        where_.erase(it.attempt);
+        class_of_.erase(it.attempt);
     }
     return out;
 }
--- a/modules/admission/src/attempt_table.cpp
+++ b/modules/admission/src/attempt_table.cpp
@@ -48,7 +48,7 @@
 
 void attempt_table::expire(instant now)
 {
-    while (!ended_.empty() && ended_.front().at + keep_ < now) {
+    while (!ended_.empty() && ended_.front().at + retention_ < now) {
         attempts_.erase(ended_.front().attempt);
         ended_.pop_front();
     }
--- a/modules/admission/src/rate_limiter.cpp
+++ b/modules/admission/src/rate_limiter.cpp
@@ -8,7 +8,7 @@
 
 constexpr double micros_per_second = 1e6;
 constexpr double millis_per_second = 1e3;
-constexpr millis in_flight_retry{100};
+constexpr millis in_flight_retry_after{100};
 
 } // namespace
 
@@ -20,19 +20,19 @@
         found = buckets_.emplace(std::string{account}, bucket{}).first;
     }
     bucket& it = found->second;
-    const double depth = std::max(1.0, limits.burst);
-    if (!it.known) {
-        it.tokens = depth;
-        it.filled = now;
-        it.known = true;
+    const double capacity = std::max(1.0, limits.burst);
+    if (!it.initialized) {
+        it.tokens = capacity;
+        it.refilled = now;
+        it.initialized = true;
     }
     if (limits.max_in_flight > 0 && it.in_flight >= limits.max_in_flight) {
-        return {false, in_flight_retry};
+        return {false, in_flight_retry_after};
     }
     if (limits.rate_per_s > 0) {
-        const double passed = static_cast<double>((now - it.filled).count()) / micros_per_second;
-        it.tokens = std::min(depth, it.tokens + passed * limits.rate_per_s);
-        it.filled = now;
+        const double elapsed = static_cast<double>((now - it.refilled).count()) / micros_per_second;
+        it.tokens = std::min(capacity, it.tokens + elapsed * limits.rate_per_s);
+        it.refilled = now;
         if (it.tokens < 1.0) {
             const double wait = (1.0 - it.tokens) / limits.rate_per_s * millis_per_second;
             return {false, millis{static_cast<std::int64_t>(wait) + 1}};
--- a/modules/admission/tests/admission_test.cpp
+++ b/modules/admission/tests/admission_test.cpp
@@ -21,8 +21,9 @@
 
 BOOST_AUTO_TEST_SUITE(admission)
 
-// A start was asked after and answered "never ran"; the frame that was held up arrives later. If it
-// started then, the caller would have been told a lie.
+// An entry asks about an attempt whose start message is delayed, and the agent answers that the
+// attempt never ran. When the start message arrives, the attempt must not start, otherwise that
+// answer would be wrong.
 BOOST_AUTO_TEST_CASE(a_start_after_its_tombstone_never_begins)
 {
     attempt_table table{millis{1000}};
@@ -35,7 +36,7 @@
     BOOST_TEST(!table.tombstone(8, start));
 }
 
-BOOST_AUTO_TEST_CASE(overload_is_said_at_once_with_when_to_come_back)
+BOOST_AUTO_TEST_CASE(overload_is_refused_at_once_with_a_retry_time)
 {
     admission_queue queue{{.slots = 1, .first_service_time = millis{100}}};
     for (attempt_id n = 0; n < 9; ++n) {
@@ -49,9 +50,9 @@
     BOOST_TEST(refused.retry_after.count() >= 900);
 }
 
-// A large account fills the queue before a small one comes. The small one's next request must not
-// wait for all of the large one's.
-BOOST_AUTO_TEST_CASE(a_flood_does_not_push_others_back)
+// One client account fills the queue. The next request of another account must not wait for all of
+// the first account's requests.
+BOOST_AUTO_TEST_CASE(a_flood_of_one_account_does_not_delay_others)
 {
     admission_queue queue{{.slots = 1}};
     for (attempt_id n = 0; n < 50; ++n) {
@@ -69,7 +70,7 @@
     BOOST_TEST(turn <= 2U);
 }
 
-BOOST_AUTO_TEST_CASE(short_lookups_find_a_slot_beside_bulk_work)
+BOOST_AUTO_TEST_CASE(interactive_requests_find_a_free_slot_beside_bulk_jobs)
 {
     admission_queue queue{{.slots = 8}};
     for (attempt_id n = 0; n < 20; ++n) {
@@ -82,7 +83,7 @@
     BOOST_TEST(queue.next()->attempt == 100U);
 }
 
-BOOST_AUTO_TEST_CASE(rates_and_concurrency_are_kept)
+BOOST_AUTO_TEST_CASE(rate_and_concurrency_limits_are_enforced)
 {
     rate_limiter limiter;
     const account_limits limits{10, 2, 3};
