--- a/modules/routing/include/hickorypost/routing/cascade_policy.h
+++ b/modules/routing/include/hickorypost/routing/cascade_policy.h
@@ -9,35 +9,37 @@
 
 namespace hickorypost::routing {
 
-/// A stage of a cascade as the policy sees it.
+/// What the policy knows about one stage of a cascade before any rating.
 struct cascade_stage {
-    double cost = 0;    ///< expected cost of one answer
-    double quality = 0; ///< prior share of answers that are good enough
+    double cost = 0;    ///< expected cost of one answer; the unit is the same for all stages
+    double quality = 0; ///< prior estimate of the share of answers that are good enough, 0 to 1
     micros time{0};     ///< expected time of one answer
 };
 
 struct cascade_query {
     std::string account;
-    std::string task; ///< caller's task label, or empty
+    std::string task; ///< the caller's task label; empty: none
     bool non_idempotent = false;
-    micros remaining{0};
-    double quality_target = 0.9; ///< wanted share of answers that are good enough
+    micros remaining{0};         ///< time until the request's deadline
+    double quality_target = 0.9; ///< required share of answers that are good enough, 0 to 1
 };
 
-/// Learns, per client account and task, how often each stage's answer is good enough, and starts
-/// where the expected cost of reaching the target is lowest. Sans I/O.
+/// Estimates, per client account and task, how often each stage's answer is good enough, and
+/// selects the first stage with the lowest expected total cost. Does no I/O.
 class cascade_policy {
 public:
     explicit cascade_policy(random_fn random) : random_{std::move(random)} {}
 
-    /// Index of the stage to start with.
+    /// Returns the index of the stage to start with.
     std::size_t start_stage(const cascade_query& query, const std::vector<cascade_stage>& stages);
-    /// Whether an answer that was rated below the line is worth a further stage.
+    /// Returns whether a request whose answer at `stage` was not good enough may go on to the next
+    /// stage: there is one, the request may run again and the time is sufficient.
     [[nodiscard]] bool escalate(const cascade_query& query,
                                 const std::vector<cascade_stage>& stages, std::size_t stage) const;
-    /// What a stage's answer was rated: good enough or not.
+    /// Records whether an answer of the stage was rated good enough.
     void learn(const cascade_query& query, std::size_t stage, bool good);
 
+    /// Returns the estimated share of the stage's answers that are good enough, 0 to 1.
     [[nodiscard]] double good_share(const cascade_query& query,
                                     const std::vector<cascade_stage>& stages,
                                     std::size_t stage) const;
@@ -49,13 +51,13 @@
         std::size_t stage = 0;
         friend auto operator<=>(const task_key&, const task_key&) = default;
     };
-    struct tally {
+    struct rating_counts {
         double good = 0;
-        double seen = 0;
+        double rated = 0;
     };
 
     random_fn random_;
-    std::map<task_key, tally> tallies_;
+    std::map<task_key, rating_counts> ratings_;
 };
 
 } // namespace hickorypost::routing
--- a/modules/routing/include/hickorypost/routing/retry_budget.h
+++ b/modules/routing/include/hickorypost/routing/retry_budget.h
@@ -5,29 +5,31 @@
 namespace hickorypost::routing {
 
 struct retry_options {
-    /// Retries allowed per first try; keeps retries from multiplying an overload.
+    /// Retries that each first try adds to the budget. Prevents retries from multiplying an
+    /// overload.
     double ratio = 0.1;
-    /// Retries that may be saved up in quiet times.
+    /// Maximum number of unused retries that the budget accumulates.
     double burst = 20;
-    /// Tries of one request, the first included.
+    /// Maximum number of tries of one request, including the first.
     std::uint32_t max_tries = 3;
-    /// A retry must leave at least this long until the deadline.
+    /// Minimum time until the request's deadline for a retry.
     millis min_remaining{50};
 };
 
-/// Decides whether a request may be tried again elsewhere. Sans I/O.
+/// Limits retries to a share of the first tries. Does no I/O.
 class retry_budget {
 public:
-    explicit retry_budget(retry_options options) : options_{options}, saved_{options.burst} {}
+    explicit retry_budget(retry_options options) : options_{options}, available_{options.burst} {}
 
+    /// Call for the first try of each request; adds `ratio` retries to the budget.
     void first_try() noexcept;
-    /// Takes one retry from the budget if one is allowed.
+    /// Takes one retry from the budget; returns false if no retry is allowed.
     bool try_again(std::uint32_t tries_so_far, micros remaining) noexcept;
-    [[nodiscard]] double saved() const noexcept { return saved_; }
+    [[nodiscard]] double available() const noexcept { return available_; }
 
 private:
     retry_options options_;
-    double saved_;
+    double available_;
 };
 
 } // namespace hickorypost::routing
--- a/modules/routing/include/hickorypost/routing/router.h
+++ b/modules/routing/include/hickorypost/routing/router.h
@@ -11,7 +11,7 @@
 
 namespace hickorypost::routing {
 
-/// How a backend server is chosen. All but `expected_time` are baselines to measure against.
+/// How a backend server is chosen. All but `expected_time` are baselines for comparison.
 enum class policy : std::uint8_t {
     expected_time, ///< lowest expected time to first token among a few sampled candidates
     random,
@@ -20,36 +20,39 @@
     power_of_two,
 };
 
+/// Returns nothing if no policy has this name.
 std::optional<policy> parse_policy(std::string_view name) noexcept;
 
-/// How time to first token grows with load and prompt, in microseconds.
+/// Model of the time to first token as a function of load and prompt length, in microseconds.
 struct engine_profile {
-    double step_us = 3000;
-    double per_sequence_us = 250;
-    double per_prompt_token_us = 25;
-    double cached_prompt_share = 0.8; ///< of the prompt's cost, saved by a cached prefix
-    /// What a further request costs those that already run there, for each of them. Without it a
-    /// cached prefix would draw request after request onto one replica.
-    double crowding_us = 1000;
+    double step_us = 3000;            ///< one decoding step without sequences
+    double per_sequence_us = 250;     ///< added to a step by each running sequence
+    double per_prompt_token_us = 25;  ///< processing of one prompt token
+    double cached_prompt_share = 0.8; ///< share of the prompt's cost that a cached prefix saves
+    /// Delay that a further request causes to each request that already runs on the backend server.
+    /// Without this term, a cached prefix would concentrate requests on one replica.
+    double slowdown_per_request_us = 1000;
 };
 
 struct router_options {
     policy how = policy::expected_time;
-    /// Candidates looked at per choice; keeps a choice's cost flat as the fleet grows.
+    /// Number of candidates that are compared per choice, so that the cost of a choice doesn't grow
+    /// with the number of backend servers.
     std::size_t samples = 12;
-    /// What a step and a prompt token cost on an ordinary replica. Only their proportions matter:
-    /// each backend server's own factor on top is learned.
+    /// Costs of a step and of a prompt token on an average replica. Only their proportions matter,
+    /// since the router measures a factor for each backend server.
     engine_profile profile;
-    /// A new or returning backend server reaches its full share of work over this time.
+    /// Time over which a new or returning backend server reaches its full share of the work.
     millis slow_start{3000};
-    /// After a failure a backend server is tried again after this long, doubling up to the longest.
+    /// Time without requests to a backend server after its first failure. Doubles with each further
+    /// failure up to `longest_probation`.
     millis first_probation{500};
     millis longest_probation{30'000};
-    /// Prefix hashes remembered per backend server.
-    std::size_t remembered_prefixes = 4096;
+    /// Maximum number of prefix hashes that are kept per backend server.
+    std::size_t max_prefixes = 4096;
 };
 
-/// A backend server behind its agent.
+/// Identifies a backend server by its agent and its name there.
 struct backend_id {
     node_id agent;
     std::string backend;
@@ -60,7 +63,7 @@
 
 struct route_query {
     model_version target;
-    /// Hash of the prompt's beginning, or of the session; 0 if there is nothing to reuse.
+    /// Hash of the prompt's prefix, or of the session; 0 if no cached prefix can be reused.
     std::uint64_t prefix = 0;
     double prompt_tokens = 200;
     /// Backend servers that this request has tried already.
@@ -70,61 +73,65 @@
 struct route_choice {
     backend_id backend;
     incarnation agent_life = 0;
-    /// Time to first token on an ordinary replica in this one's state; goes into the report.
+    /// Modelled time to first token of an average replica under this one's load. Pass it on in the
+    /// `attempt_report`.
     micros modelled_first{0};
 };
 
-/// How one attempt went, as the router learns from it.
+/// Result of one attempt.
 struct attempt_report {
-    bool failed = false; ///< the backend server or the way to it is at fault
+    bool failed = false; ///< by a fault of the backend server or of the link to it
     std::optional<micros> first_token;
-    micros modelled_first{0}; ///< as `choose` gave it; 0: teaches nothing about speed
+    micros modelled_first{0}; ///< from `choose`; 0: the speed estimate is not updated
     micros total{0};
 };
 
-/// An entry's table of backend servers, and the choice among them. Sans I/O.
+/// An entry's table of backend servers and the choice among them. Does no I/O.
 ///
-/// Load reports lag, so they only tell how much others have there on average; what this entry has
-/// there itself is known exactly and at once.
+/// Load reports arrive late, so they only serve to estimate the average load that other entries put
+/// on a backend server. The load of this entry itself is known exactly at any time.
 class router {
 public:
     router(router_options options, random_fn random);
 
-    /// Takes an agent's announcement; its backend servers that are no longer named are removed.
+    /// Applies an agent's announcement. Backend servers that it no longer names are removed.
     void upsert(const wire::agent_info& agent, instant now);
     void remove(const node_id& agent);
-    /// Backend servers of an agent without a link are not chosen.
+    /// Sets whether this entry has a link to the agent. Backend servers of an agent without a link
+    /// are not chosen.
     void set_linked(const node_id& agent, bool linked, instant now);
 
+    /// Returns nothing if no backend server can take the request.
     std::optional<route_choice> choose(const route_query& query, instant now);
 
     void started(const backend_id& id, std::uint64_t prefix, instant now);
     void ended(const backend_id& id, const attempt_report& report, instant now);
-    /// A load report: how much the backend server runs and queues in all.
+    /// Applies a load report: the requests of all entries that the backend server runs and queues.
     void apply_load_report(const backend_id& id, std::uint32_t running, std::uint32_t queued);
-    /// The engine said that it dropped a prefix (cache events come late and with gaps).
+    /// The engine reported that it evicted a prefix. Cache events arrive late and some are lost.
     void forget_prefix(const backend_id& id, std::uint64_t prefix);
 
     [[nodiscard]] std::size_t size() const noexcept { return backends_.size(); }
     [[nodiscard]] std::size_t candidates(const model_version& target) const;
+    /// Requests of this entry in flight at the backend server.
     [[nodiscard]] std::uint32_t in_flight(const backend_id& id) const;
 
 private:
     struct backend_state {
         backend_id id;
-        incarnation life = 0;
+        incarnation agent_life = 0;
         std::vector<model_version> offers;
         std::uint32_t slots = 1;
         bool leaving = false;
         bool linked = false;
-        instant since; ///< start of its slow start
-        std::uint32_t own = 0;
-        double others = 0;   ///< running mean of what other entries have there
-        double slowness = 1; ///< learned: time to first token against the model's
-        std::uint64_t answers = 0;
+        instant slow_start_from;         ///< start of the slow start
+        std::uint32_t own_in_flight = 0; ///< requests of this entry in flight
+        double others_in_flight = 0;     ///< moving average of the requests of other entries
+        double latency_factor = 1; ///< measured ratio of time to first token to the modelled time
+        std::uint64_t answer_count = 0;
         std::uint32_t failures = 0;
         instant probation_until;
-        bool probing = false;
+        bool probe_in_flight = false;
         std::unordered_map<std::uint64_t, instant> prefixes;
     };
 
@@ -148,9 +155,9 @@
     std::map<node_id, std::vector<backend_id>> of_agent_;
     std::unordered_map<model_version, std::vector<std::size_t>, model_version_hash> pools_;
     std::unordered_map<std::uint64_t, std::size_t>
-        prefix_home_; ///< last backend server of a prefix
-    std::uint64_t turn_ = 0;
-    double total_us_ = 0; ///< running mean of whole answers' times, over all backend servers
+        prefix_slot_; ///< slot of the backend server that last got the prefix
+    std::uint64_t next_turn_ = 0;
+    double mean_total_us_ = 0; ///< moving average of the time of whole answers, all backend servers
 };
 
 } // namespace hickorypost::routing
--- a/modules/routing/src/cascade_policy.cpp
+++ b/modules/routing/src/cascade_policy.cpp
@@ -6,12 +6,14 @@
 
 namespace {
 
-/// Answers that the operators' prior counts for; ratings outweigh it after about as many.
+/// Number of ratings that the operator's prior `quality` is weighted as.
 constexpr double prior_weight = 10;
-/// Older ratings fade, so that a change of the tasks or versions is noticed.
-constexpr double memory = 400;
-/// Share of requests that start at another stage, to keep learning about it.
-constexpr double exploration = 0.02;
+/// Beyond this number of ratings, older ratings decay exponentially, so that the estimate follows a
+/// change of tasks or versions.
+constexpr double max_rating_weight = 400;
+/// Share of requests that start one stage earlier than the best one, so that the estimate of that
+/// stage stays current.
+constexpr double exploration_rate = 0.02;
 
 } // namespace
 
@@ -19,10 +21,10 @@
                                   const std::vector<cascade_stage>& stages, std::size_t stage) const
 {
     const double prior = stages[stage].quality;
-    const auto it = tallies_.find({query.account, query.task, stage});
-    const double good = it == tallies_.end() ? 0 : it->second.good;
-    const double seen = it == tallies_.end() ? 0 : it->second.seen;
-    return (good + prior * prior_weight) / (seen + prior_weight);
+    const auto it = ratings_.find({query.account, query.task, stage});
+    const double good = it == ratings_.end() ? 0 : it->second.good;
+    const double rated = it == ratings_.end() ? 0 : it->second.rated;
+    return (good + prior * prior_weight) / (rated + prior_weight);
 }
 
 std::size_t cascade_policy::start_stage(const cascade_query& query,
@@ -30,7 +32,8 @@
 {
     const std::size_t last = stages.size() - 1;
     if (query.non_idempotent) {
-        // It may run once only: the cheapest stage that meets the target by itself.
+        // A non-idempotent request may run only once: selects the cheapest stage that meets the
+        // target without a further stage.
         for (std::size_t it = 0; it < last; ++it) {
             if (good_share(query, stages, it) >= query.quality_target) {
                 return it;
@@ -41,13 +44,14 @@
     std::size_t best = last;
     double best_cost = std::numeric_limits<double>::infinity();
     for (std::size_t start = 0; start <= last; ++start) {
-        // Expected cost of starting here and going on while the answer is not good enough.
+        // Expected cost if the request starts at this stage and goes on to the next one while the
+        // answer is not good enough.
         double cost = 0;
-        double reach = 1;
+        double reach_probability = 1;
         micros time{0};
         for (std::size_t it = start; it <= last; ++it) {
-            cost += reach * stages[it].cost;
-            reach *= 1.0 - good_share(query, stages, it);
+            cost += reach_probability * stages[it].cost;
+            reach_probability *= 1.0 - good_share(query, stages, it);
             time += stages[it].time;
         }
         const bool in_time = start == last || time <= query.remaining;
@@ -56,7 +60,7 @@
             best_cost = cost;
         }
     }
-    if (best > 0 && unit_random(random_) < exploration) {
+    if (best > 0 && unit_random(random_) < exploration_rate) {
         return best - 1;
     }
     return best;
@@ -71,13 +75,13 @@
 
 void cascade_policy::learn(const cascade_query& query, std::size_t stage, bool good)
 {
-    tally& it = tallies_[{query.account, query.task, stage}];
-    if (it.seen >= memory) {
-        const double fade = (memory - 1) / memory;
-        it.good *= fade;
-        it.seen *= fade;
+    rating_counts& it = ratings_[{query.account, query.task, stage}];
+    if (it.rated >= max_rating_weight) {
+        const double decay = (max_rating_weight - 1) / max_rating_weight;
+        it.good *= decay;
+        it.rated *= decay;
     }
-    it.seen += 1;
+    it.rated += 1;
     it.good += good ? 1 : 0;
 }
 
--- a/modules/routing/src/router.cpp
+++ b/modules/routing/src/router.cpp
@@ -8,22 +8,26 @@
 
 namespace {
 
-/// Weight of the newest answer in the running mean of a backend server's slowness, at most; its
-/// first answers count more.
-constexpr double learning_gain = 0.01;
-/// Weight of the newest load report in the mean of what others have there. Reports are late and the
-/// load changes faster than they come: only their average says anything.
+/// Minimum weight of the newest answer in the moving average of a backend server's latency factor.
+/// The first answers have more weight.
+constexpr double min_latency_gain = 0.01;
+/// Weight of the newest load report in the moving average of the other entries' requests. Reports
+/// arrive late and the load changes faster than they arrive, so only their average is meaningful.
 constexpr double report_gain = 0.02;
-/// Answers after which the first impression of a backend server counts like any other.
-constexpr double first_answers = 10;
-/// Weight of the newest answer in the mean time of whole answers.
+/// The weight of the n-th answer is 1 / (initial_answer_weight + n), but at least the minimum
+/// above.
+constexpr double initial_answer_weight = 10;
+/// Weight of the newest answer in the moving average of the time of whole answers.
 constexpr double total_gain = 0.005;
-constexpr double noticeable_slowness = 1.5;
-constexpr double least_slowness = 0.25;
-constexpr double most_slowness = 50;
-/// A slow-starting backend server looks at most this much busier than it is.
+/// Latency factors up to this one are treated as 1.
+constexpr double min_applied_latency_factor = 1.5;
+/// Limits of the latency factor of a single answer.
+constexpr double min_latency_factor = 0.25;
+constexpr double max_latency_factor = 50;
+/// At the beginning of the slow start, the expected time is raised by this factor times the load
+/// per slot.
 constexpr double slow_start_penalty = 4.0;
-constexpr std::size_t max_prefix_homes = 1U << 18U;
+constexpr std::size_t max_prefix_slots = 1U << 18U;
 
 struct policy_name {
     policy how;
@@ -100,15 +104,15 @@
             known.push_back(id);
             state = &*backends_[slot];
             state->id = id;
-            state->since = now;
+            state->slow_start_from = now;
         }
         const std::size_t slot = slot_of_[id];
-        if (state->life != agent.life) {
-            state->since = now;
+        if (state->agent_life != agent.life) {
+            state->slow_start_from = now;
             state->prefixes.clear();
         }
         unindex_offers(slot);
-        state->life = agent.life;
+        state->agent_life = agent.life;
         state->offers = info.offers;
         state->slots = std::max(1U, info.slots);
         state->leaving = info.leaving || agent.leaving;
@@ -149,9 +153,10 @@
     for (const auto& id : known->second) {
         backend_state* state = find(id);
         if (linked && !state->linked) {
-            // What ran here before may be gone, and so may its load: begin with little.
-            state->since = now;
-            state->others = 0;
+            // The requests and the load from before the link loss may be gone, so the slow start
+            // begins again and the old load estimate is dropped.
+            state->slow_start_from = now;
+            state->others_in_flight = 0;
         }
         state->linked = linked;
     }
@@ -162,9 +167,9 @@
     if (!it.linked || it.leaving) {
         return false;
     }
-    // One probe at a time while a failing backend server is on probation: recovering servers are
-    // asked, not flooded.
-    if (it.failures > 0 && (now < it.probation_until || it.probing)) {
+    // After a failure, a backend server gets no request during its probation and then one request
+    // at a time until one succeeds, so that a recovering server is not overloaded.
+    if (it.failures > 0 && (now < it.probation_until || it.probe_in_flight)) {
         return false;
     }
     return std::find(query.excluded.begin(), query.excluded.end(), it.id) == query.excluded.end();
@@ -172,7 +177,7 @@
 
 double router::load_of(const backend_state& it) const
 {
-    return static_cast<double>(it.own) + it.others;
+    return static_cast<double>(it.own_in_flight) + it.others_in_flight;
 }
 
 double router::modelled_us(const backend_state& it, const route_query& query) const
@@ -184,23 +189,28 @@
     const bool cached = query.prefix != 0 && it.prefixes.contains(query.prefix);
     const double prompt = query.prompt_tokens * profile.per_prompt_token_us *
                           (cached ? 1.0 - profile.cached_prompt_share : 1.0);
-    // On average half a step passes until the next one begins; that one reads the prompt in.
+    // A request waits half a step on average until the next step begins. That step processes the
+    // prompt.
     const double step = profile.step_us + profile.per_sequence_us * (running + 1.0);
-    const double queue = std::max(0.0, load + 1.0 - slots) / slots * total_us_;
+    const double queue = std::max(0.0, load + 1.0 - slots) / slots * mean_total_us_;
     return 1.5 * step + prompt + queue;
 }
 
 double router::expected_us(const backend_state& it, const route_query& query, instant now) const
 {
-    // Small differences in measured speed are noise; following them would crowd whoever looks best.
-    const double slowness = it.slowness > noticeable_slowness ? it.slowness : 1.0;
+    // Small differences of the latency factor are noise. Following them would concentrate requests
+    // on the backend server with the lowest factor.
+    const double latency_factor =
+        it.latency_factor > min_applied_latency_factor ? it.latency_factor : 1.0;
     double expected =
-        (modelled_us(it, query) + options_.profile.crowding_us * load_of(it)) * slowness;
-    const double full = static_cast<double>(micros{options_.slow_start}.count());
-    const double here = static_cast<double>((now - it.since).count());
-    if (here < full) {
+        (modelled_us(it, query) + options_.profile.slowdown_per_request_us * load_of(it)) *
+        latency_factor;
+    const double slow_start_time = static_cast<double>(micros{options_.slow_start}.count());
+    const double online_time = static_cast<double>((now - it.slow_start_from).count());
+    if (online_time < slow_start_time) {
         const double slots = static_cast<double>(it.slots);
-        expected *= 1.0 + slow_start_penalty * (1.0 - here / full) * (load_of(it) / slots);
+        expected *= 1.0 + slow_start_penalty * (1.0 - online_time / slow_start_time) *
+                              (load_of(it) / slots);
     }
     return expected;
 }
@@ -222,10 +232,10 @@
         }
         return best;
     };
-    const auto draw = [&]() -> std::optional<std::size_t> {
-        // A few draws nearly always meet a usable one; a full scan covers the rest.
-        constexpr int draws = 8;
-        for (int n = 0; n < draws && !pool.empty(); ++n) {
+    const auto pick_random = [&]() -> std::optional<std::size_t> {
+        // A few random samples nearly always contain a usable backend server. Otherwise, scans all.
+        constexpr int max_samples = 8;
+        for (int n = 0; n < max_samples && !pool.empty(); ++n) {
             const std::size_t slot = pool[random_() % pool.size()];
             if (usable(*backends_[slot], query, now)) {
                 return slot;
@@ -235,10 +245,10 @@
     };
     switch (options_.how) {
     case policy::random:
-        return draw();
+        return pick_random();
     case policy::round_robin: {
         for (std::size_t n = 0; n < pool.size(); ++n) {
-            const std::size_t slot = pool[turn_++ % pool.size()];
+            const std::size_t slot = pool[next_turn_++ % pool.size()];
             if (usable(*backends_[slot], query, now)) {
                 return slot;
             }
@@ -246,10 +256,10 @@
         return std::nullopt;
     }
     case policy::least_in_flight:
-        return scan([](const backend_state& it) { return static_cast<double>(it.own); });
+        return scan([](const backend_state& it) { return static_cast<double>(it.own_in_flight); });
     case policy::power_of_two: {
-        const auto first = draw();
-        const auto second = draw();
+        const auto first = pick_random();
+        const auto second = pick_random();
         if (!first || !second) {
             return first;
         }
@@ -266,23 +276,24 @@
     double best_score = std::numeric_limits<double>::infinity();
     const auto consider = [&](std::size_t slot) {
         const auto& it = *backends_[slot];
-        if (const double s = score(it); usable(it, query, now) && s < best_score) {
+        if (const double candidate_score = score(it);
+            usable(it, query, now) && candidate_score < best_score) {
             best = slot;
-            best_score = s;
+            best_score = candidate_score;
         }
     };
     for (std::size_t n = 0; n < options_.samples; ++n) {
         consider(pool[random_() % pool.size()]);
     }
     if (query.prefix != 0) {
-        if (const auto home = prefix_home_.find(query.prefix);
-            home != prefix_home_.end() && home->second < backends_.size() &&
-            backends_[home->second] &&
-            std::find(pool.begin(), pool.end(), home->second) != pool.end()) {
-            consider(home->second);
+        if (const auto prefix_slot = prefix_slot_.find(query.prefix);
+            prefix_slot != prefix_slot_.end() && prefix_slot->second < backends_.size() &&
+            backends_[prefix_slot->second] &&
+            std::find(pool.begin(), pool.end(), prefix_slot->second) != pool.end()) {
+            consider(prefix_slot->second);
         }
     }
-    return best ? best : draw();
+    return best ? best : pick_random();
 }
 
 std::optional<route_choice> router::choose(const route_query& query, instant now)
@@ -297,7 +308,7 @@
     }
     const auto& it = *backends_[*slot];
     const double modelled = modelled_us(it, query);
-    return route_choice{it.id, it.life, micros{static_cast<std::int64_t>(modelled)}};
+    return route_choice{it.id, it.agent_life, micros{static_cast<std::int64_t>(modelled)}};
 }
 
 void router::started(const backend_id& id, std::uint64_t prefix, instant now)
@@ -306,19 +317,19 @@
     if (it == nullptr) {
         return;
     }
-    ++it->own;
-    it->probing = it->failures > 0;
+    ++it->own_in_flight;
+    it->probe_in_flight = it->failures > 0;
     if (prefix == 0) {
         return;
     }
-    if (it->prefixes.size() >= options_.remembered_prefixes) {
+    if (it->prefixes.size() >= options_.max_prefixes) {
         it->prefixes.erase(it->prefixes.begin());
     }
     it->prefixes[prefix] = now;
-    if (prefix_home_.size() >= max_prefix_homes) {
-        prefix_home_.erase(prefix_home_.begin());
+    if (prefix_slot_.size() >= max_prefix_slots) {
+        prefix_slot_.erase(prefix_slot_.begin());
     }
-    prefix_home_[prefix] = slot_of_[id];
+    prefix_slot_[prefix] = slot_of_[id];
 }
 
 void router::ended(const backend_id& id, const attempt_report& report, instant now)
@@ -327,8 +338,8 @@
     if (it == nullptr) {
         return;
     }
-    it->own -= it->own > 0 ? 1U : 0U;
-    it->probing = false;
+    it->own_in_flight -= it->own_in_flight > 0 ? 1U : 0U;
+    it->probe_in_flight = false;
     if (report.failed) {
         ++it->failures;
         const auto doublings = std::min(it->failures - 1U, 16U);
@@ -342,24 +353,25 @@
         return;
     }
     const double total = static_cast<double>(report.total.count());
-    ++it->answers;
-    const double gain =
-        std::max(learning_gain, 1.0 / (first_answers + static_cast<double>(it->answers)));
-    total_us_ += (total_us_ == 0 ? 1.0 : total_gain) * (total - total_us_);
+    ++it->answer_count;
+    const double gain = std::max(
+        min_latency_gain, 1.0 / (initial_answer_weight + static_cast<double>(it->answer_count)));
+    mean_total_us_ += (mean_total_us_ == 0 ? 1.0 : total_gain) * (total - mean_total_us_);
     if (report.modelled_first <= micros{0}) {
         return;
     }
     const double ratio = static_cast<double>(report.first_token->count()) /
                          static_cast<double>(report.modelled_first.count());
-    it->slowness += gain * (std::clamp(ratio, least_slowness, most_slowness) - it->slowness);
+    it->latency_factor +=
+        gain * (std::clamp(ratio, min_latency_factor, max_latency_factor) - it->latency_factor);
 }
 
 void router::apply_load_report(const backend_id& id, std::uint32_t running, std::uint32_t queued)
 {
     if (backend_state* it = find(id); it != nullptr) {
         const double all = static_cast<double>(running) + static_cast<double>(queued);
-        const double others = std::max(0.0, all - static_cast<double>(it->own));
-        it->others += report_gain * (others - it->others);
+        const double others_in_flight = std::max(0.0, all - static_cast<double>(it->own_in_flight));
+        it->others_in_flight += report_gain * (others_in_flight - it->others_in_flight);
     }
 }
 
@@ -379,7 +391,7 @@
 std::uint32_t router::in_flight(const backend_id& id) const
 {
     const auto it = slot_of_.find(id);
-    return it == slot_of_.end() ? 0 : backends_[it->second]->own;
+    return it == slot_of_.end() ? 0 : backends_[it->second]->own_in_flight;
 }
 
 } // namespace hickorypost::routing
--- a/modules/routing/tests/routing_test.cpp
+++ b/modules/routing/tests/routing_test.cpp
@@ -34,9 +34,9 @@
 
 BOOST_AUTO_TEST_SUITE(routing)
 
-// A backend server fails. It is left alone for its probation, then asked by one request at a time
-// until one succeeds: recovering servers are probed, not flooded.
-BOOST_AUTO_TEST_CASE(a_failing_server_is_probed_not_flooded)
+// Guards against an overload of a recovering backend server: after a failure it must get no request
+// during its probation, and then one request at a time until one succeeds.
+BOOST_AUTO_TEST_CASE(a_failed_server_gets_one_request_at_a_time_after_probation)
 {
     router it = make_router(1);
     const auto choice = it.choose(query, start);
@@ -69,7 +69,7 @@
     BOOST_TEST(!it.choose(excluded, start).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(a_slow_server_gets_less_and_a_cached_prefix_draws)
+BOOST_AUTO_TEST_CASE(slow_servers_are_avoided_and_cached_prefixes_preferred)
 {
     router it = make_router(2);
     for (int n = 0; n < 200; ++n) {
@@ -100,22 +100,22 @@
     BOOST_TEST(!fresh.try_again(1, millis{10}));
 }
 
-BOOST_AUTO_TEST_CASE(a_cascade_learns_where_to_start)
+BOOST_AUTO_TEST_CASE(a_cascade_learns_its_start_stage_from_ratings)
 {
     cascade_policy policy{seeded_random_fn(1)};
     const std::vector<cascade_stage> stages{{1, 0.8, millis{100}}, {4, 0.95, millis{400}}};
-    const cascade_query hard{"k", "draft", false, millis{5000}, 0.9};
-    BOOST_TEST(policy.start_stage(hard, stages) == 0U);
+    const cascade_query hard_task{"k", "draft", false, millis{5000}, 0.9};
+    BOOST_TEST(policy.start_stage(hard_task, stages) == 0U);
     for (int n = 0; n < 200; ++n) {
-        policy.learn(hard, 0, n % 10 == 0);
+        policy.learn(hard_task, 0, n % 10 == 0);
     }
     std::size_t strong = 0;
     for (int n = 0; n < 100; ++n) {
-        strong += policy.start_stage(hard, stages);
+        strong += policy.start_stage(hard_task, stages);
     }
     BOOST_TEST(strong >= 90U);
-    const cascade_query once{"k", "lookup", true, millis{5000}, 0.9};
-    BOOST_TEST(!policy.escalate(once, stages, 0));
+    const cascade_query non_idempotent{"k", "lookup", true, millis{5000}, 0.9};
+    BOOST_TEST(!policy.escalate(non_idempotent, stages, 0));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
