--- a/src/gateway/limit_feed.cpp
+++ b/src/gateway/limit_feed.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-/// Minimum interval of permit requests to the coordinating host.
-constexpr millis ask_gap{20};
+/// Minimum interval between permit requests to the coordinating host.
+constexpr millis min_request_interval{20};
 constexpr millis grant_period{20};
 
 } // namespace
@@ -25,35 +25,36 @@
 
 void limit_feed::schedule_permit_requests()
 {
-    if (ask_timer_.armed()) {
+    if (request_timer_.armed()) {
         return;
     }
-    const auto since = std::chrono::duration_cast<millis>(env_.now() - asked_);
-    ask_timer_ = net::timer::once(std::max(millis{0}, ask_gap - since), [this] { ask(); });
+    const auto since = std::chrono::duration_cast<millis>(env_.now() - last_request_);
+    request_timer_ = net::timer::once(std::max(millis{0}, min_request_interval - since),
+                                      [this] { send_requests(); });
 }
 
-void limit_feed::ask()
+void limit_feed::send_requests()
 {
-    asked_ = env_.now();
+    last_request_ = env_.now();
     wire::permit_requests out;
     for (const auto& it : limits_.take_requests()) {
         out.requests.push_back({it.backend, it.per_second, it.priority});
     }
     const node_id coordinator_host = coordinator_host_();
     if (out.requests.empty() || coordinator_host.empty()) {
-        return; // a host without an answer sends less, by itself
+        return; // a host that gets no reply reduces its own rate
     }
     if (coordinator_host == mesh_.self()) {
-        take_requests(coordinator_host, out);
+        handle_requests(coordinator_host, out);
     } else {
         mesh_.send(coordinator_host, out);
     }
 }
 
-void limit_feed::take_requests(const node_id& from, const wire::permit_requests& requests)
+void limit_feed::handle_requests(const node_id& from, const wire::permit_requests& requests)
 {
     if (coordinator_host_() != mesh_.self()) {
-        return; // sent to a former leader: two hosts must not grant at once
+        return; // this host is no longer the leader; two hosts must not grant at the same time
     }
     const instant now = env_.now();
     coordinator_.expire(now);
@@ -71,13 +72,13 @@
 void limit_feed::reply(const node_id& to, const wire::permit_replies& replies)
 {
     if (to == mesh_.self()) {
-        take_replies(replies);
+        handle_replies(replies);
     } else {
         mesh_.send(to, replies);
     }
 }
 
-void limit_feed::take_replies(const wire::permit_replies& replies)
+void limit_feed::handle_replies(const wire::permit_replies& replies)
 {
     for (const auto& it : replies.replies) {
         limits_.replied({it.id, it.granted, millis{static_cast<std::int64_t>(it.room_in_ms)}});
@@ -87,11 +88,11 @@
 void limit_feed::schedule_grants()
 {
     if (!coordinator_.idle() && !grant_timer_.armed()) {
-        grant_timer_ = net::timer::every(grant_period, [this] { grant_due(); });
+        grant_timer_ = net::timer::every(grant_period, [this] { grant_waiting(); });
     }
 }
 
-void limit_feed::grant_due()
+void limit_feed::grant_waiting()
 {
     std::map<node_id, wire::permit_replies> out;
     for (const auto& it : coordinator_.due(env_.now())) {
@@ -110,12 +111,12 @@
     switch (type) {
     case wire::message_type::permit_requests:
         if (const auto it = wire::try_decode<wire::permit_requests>(body)) {
-            take_requests(from, *it);
+            handle_requests(from, *it);
         }
         return true;
     case wire::message_type::permit_replies:
         if (const auto it = wire::try_decode<wire::permit_replies>(body)) {
-            take_replies(*it);
+            handle_replies(*it);
         }
         return true;
     default:
--- a/src/gateway/limit_feed.h
+++ b/src/gateway/limit_feed.h
@@ -8,25 +8,25 @@
 
 namespace hickorypost {
 
-/// Asks for permits to send to limited backend servers, and grants them where this host is the one
-/// that does: the leader of the control log.
+/// Requests permits to send to backend servers with a request limit. On the host that coordinates
+/// permits, the leader of the control log, it also grants them.
 class limit_feed {
 public:
-    /// `coordinator_host`: the host that grants permits; empty: none is known.
+    /// `coordinator_host` returns the host that grants permits, or an empty id if none is known.
     limit_feed(runtime& env, peer_mesh& mesh, gateway::backend_limits& limits,
                std::function<node_id()> coordinator_host);
 
-    /// Sends the permit requests of `limits`, at a bounded rate.
+    /// Sends the pending permit requests of `limits` after the minimum interval between requests.
     void schedule_permit_requests();
-    /// False: not a message of this kind.
+    /// Returns false if the message is neither a permit request nor a permit reply.
     bool on_message(const node_id& from, wire::message_type type, std::string_view body);
 
 private:
-    void ask();
-    void take_requests(const node_id& from, const wire::permit_requests& requests);
-    void take_replies(const wire::permit_replies& replies);
+    void send_requests();
+    void handle_requests(const node_id& from, const wire::permit_requests& requests);
+    void handle_replies(const wire::permit_replies& replies);
     void reply(const node_id& to, const wire::permit_replies& replies);
-    void grant_due();
+    void grant_waiting();
     void schedule_grants();
 
     runtime& env_;
@@ -34,8 +34,8 @@
     gateway::backend_limits& limits_;
     std::function<node_id()> coordinator_host_;
     gateway::permit_coordinator coordinator_;
-    instant asked_;
-    net::timer ask_timer_;
+    instant last_request_;
+    net::timer request_timer_;
     net::timer grant_timer_;
 };
 
--- a/src/gateway/load_feed.h
+++ b/src/gateway/load_feed.h
@@ -12,26 +12,28 @@
 
 namespace hickorypost {
 
-/// Which hosts get news from which.
+/// The hosts between which reports are passed on: from a host with a disk to the hosts without a
+/// disk that are attached to it.
 struct attachments {
-    std::set<node_id> downstream_hosts; ///< hosts that get them from this one, which has a disk
-    std::vector<node_id>
-        upstream_hosts; ///< where this host, which has none, gets them from, best first
+    std::set<node_id> downstream_hosts; ///< attached to this host, which has a disk
+    /// Hosts with a disk that pass reports on to this host, which has none; preferred one first.
+    std::vector<node_id> upstream_hosts;
 };
 
-/// Tells the hosts who has how much work on which backend server, within milliseconds of a change
-/// that matters. A host without a disk tells the first that it is attached to; hosts with a disk
-/// add up what they hear, tell each other their own hosts' part, and their hosts the whole.
+/// Distributes the load that each host puts on each backend server, within milliseconds of a
+/// significant change. A host without a disk reports its load to the first of its upstream hosts. A
+/// host with a disk adds up the reports, sends the other hosts with a disk the sum of itself and
+/// its downstream hosts, and sends each downstream host the total of all other hosts.
 class load_feed {
 public:
     load_feed(runtime& env, peer_mesh& mesh, gateway::load_balancer& balancer, bool has_disk,
               const attachments& around);
 
-    /// This host's own work on a backend server.
+    /// Sets this host's own load on a backend server.
     void own_changed(const std::string& backend, const gateway::remote_load& own);
     void take_report(const node_id& from, const wire::load_report& report);
     void on_host_gone(const node_id& host);
-    /// `host` has just begun to listen.
+    /// Makes the next report to `host` a full one. Call when `host` has begun to receive reports.
     void require_full_report(const node_id& host);
     /// Call after each change of `attachments`, and about ten times a second.
     void follow_attachments();
@@ -41,15 +43,15 @@
     using load_map = std::map<std::string, gateway::remote_load>;
 
     void update_balancer(const std::vector<std::string>& backends);
-    void take_whole(const node_id& from, const load_map& loads);
+    void apply_full_report(const node_id& from, const load_map& loads);
     void schedule_flush();
     void flush();
-    /// `backends` as `to` must hear of them; all of them if it missed something.
-    void tell(const node_id& to, const gateway::load_table& sums,
-              const std::vector<std::string>& backends);
+    /// Sends `to` the load on `backends`, or on all backend servers if a full report is due.
+    void send_report(const node_id& to, const gateway::load_table& sums,
+                     const std::vector<std::string>& backends);
     [[nodiscard]] wire::load_report report(const node_id& to, const gateway::load_table& sums,
                                            const std::vector<std::string>& backends) const;
-    void forget_silent(instant now);
+    void drop_silent_hosts(instant now);
 
     runtime& env_;
     peer_mesh& mesh_;
@@ -57,15 +59,16 @@
     bool has_disk_;
     const attachments& around_;
 
-    gateway::load_table own_part_; ///< this host's work and that of hosts attached to it
-    gateway::load_table all_;      ///< what hosts with a disk know besides; empty elsewhere
-    std::set<std::string>
-        told_others_;                  ///< backend servers where the balancer knows of others' work
-    std::map<node_id, instant> heard_; ///< when each host reported last
-    std::set<node_id> owed_whole_;     ///< hosts that missed a report
-    node_id front_;                    ///< that this host reports to
-    instant whole_due_;
-    instant flushed_;
+    gateway::load_table local_load_; ///< load of this host and its downstream hosts
+    gateway::load_table total_load_; ///< load of all hosts; empty on a host without a disk
+    /// Backend servers on which the balancer knows of load from other hosts. Used by a host without
+    /// a disk.
+    std::set<std::string> remotely_loaded_backends_;
+    std::map<node_id, instant> last_reports_; ///< time of the last report of each host
+    std::set<node_id> full_report_pending_;   ///< hosts whose next report must be a full one
+    node_id upstream_; ///< upstream host to which a host without a disk reports; empty: none
+    instant next_full_report_;
+    instant last_flush_;
     net::timer flush_timer_;
 };
 
--- a/src/gateway/peer_mesh.cpp
+++ b/src/gateway/peer_mesh.cpp
@@ -4,18 +4,20 @@
 
 namespace {
 
-/// A link's heartbeat, and the silence after which it is replaced: hosts must notice a dead link
-/// well within the three seconds in which a change has to reach all of them.
+/// Heartbeat interval of a link, and the silence after which the link is replaced. A dead link must
+/// be detected well within the 3 s in which a change has to reach all hosts.
 constexpr millis link_heartbeat{400};
 constexpr millis link_silence{1300};
-constexpr millis longest_redial{400};
-/// Ten times the longest way between failure domains; a host that is up answers well within it.
-constexpr millis dial_limit{300};
-/// What may wait for a peer that reads slowly before its link is given up: several of the largest
-/// bodies that operators may send (4 MB). A host of 88 MB with 30 links must survive all of them.
-constexpr std::size_t most_unsent_bytes = std::size_t{16} << 20U;
-/// More than this waiting, a link takes nothing that is soon out of date: a tenth of a second of a
-/// link of 10 Mbit/s.
+constexpr millis max_redial_interval{400};
+/// Ten times the longest transit time between failure domains. A host that is up accepts a
+/// connection well within this time.
+constexpr millis connect_timeout{300};
+/// A link to a peer that reads too slowly is closed when this many bytes wait to be sent. The limit
+/// holds several of the largest bodies that operators may send (4 MB), and a host with 88 MB of
+/// memory and 30 links must not run out of memory if all peers are slow.
+constexpr std::size_t max_unsent_link_bytes = std::size_t{16} << 20U;
+/// With more unsent bytes than this, messages that soon become outdated are not queued. Equals what
+/// a link of 10 Mbit/s sends in a tenth of a second.
 constexpr std::size_t congested_bytes = std::size_t{128} << 10U;
 
 } // namespace
@@ -30,7 +32,7 @@
 
 peer_mesh::~peer_mesh()
 {
-    // Links that close here must not call those who are gone already.
+    // The links that are closed below must not call back into objects that no longer exist.
     hooks_ = {[](const node_id&) {}, [](const node_id&) {},
               [](const node_id&, wire::message_type, std::string_view) {}};
 }
@@ -55,7 +57,7 @@
     net::link_options out;
     out.heartbeat = link_heartbeat;
     out.silence_limit = link_silence;
-    out.max_unsent_bytes = most_unsent_bytes;
+    out.max_unsent_bytes = max_unsent_link_bytes;
     return out;
 }
 
@@ -81,7 +83,7 @@
 void peer_mesh::dial_seeds(const std::vector<node_id>& seeds)
 {
     for (const auto& it : seeds) {
-        dial(it);
+        connect_to(it);
     }
 }
 
@@ -90,11 +92,11 @@
     if (!core_.emplace(host.host, host.failure_domain).second) {
         return false;
     }
-    dial(host.host);
+    connect_to(host.host);
     return true;
 }
 
-void peer_mesh::dial(const node_id& host)
+void peer_mesh::connect_to(const node_id& host)
 {
     if (host == self_.host || connectors_.contains(host)) {
         return;
@@ -106,8 +108,8 @@
     };
     hooks.down = [this](net::link& it, std::string_view why) { on_down(it, why); };
     net::connector_options options;
-    options.longest_retry = longest_redial;
-    options.connect_limit = dial_limit;
+    options.longest_retry = max_redial_interval;
+    options.connect_limit = connect_timeout;
     options.link = link_options();
     connectors_[host] =
         std::make_unique<net::connector>(net::peer_address{host, self_.port}, hello(), env_.tls,
--- a/src/gateway/peer_mesh.h
+++ b/src/gateway/peer_mesh.h
@@ -13,16 +13,18 @@
 
 namespace hickorypost {
 
+/// Callbacks of a mesh.
 struct mesh_hooks {
-    std::function<void(const node_id&)> up;
-    std::function<void(const node_id&)> down;
+    std::function<void(const node_id&)> up;   ///< a link to the host is up
+    std::function<void(const node_id&)> down; ///< the last link to the host is down
     std::function<void(const node_id&, wire::message_type, std::string_view)> message;
 };
 
-/// The links of a gateway host. Hosts with a disk link to each other; the others link to those, so
-/// that a host without a disk keeps as many links as there are disks, however many hosts there are.
+/// The links of a gateway host. Hosts with a disk, called core hosts, link to each other. A host
+/// without a disk links to the core hosts only, so that its number of links doesn't grow with the
+/// number of hosts without a disk.
 ///
-/// Hosts are named by their IP address: all listen on the same internal port.
+/// A host's id is its IP address, since all hosts listen on the same internal port.
 class peer_mesh {
 public:
     /// `has_disk`: of this host. Fails with `net::listen_error`.
@@ -33,11 +35,12 @@
     peer_mesh(const peer_mesh&) = delete;
     peer_mesh& operator=(const peer_mesh&) = delete;
 
-    /// Dials hosts about which only the address is known.
+    /// Connects to hosts of which only the address is known.
     void dial_seeds(const std::vector<node_id>& seeds);
-    /// Learns of a host with a disk; true if it is new.
+    /// Adds a core host and connects to it. Returns false if it is already known.
     bool add_core_host(const wire::host_info& host);
 
+    /// Returns false if there is no link to the host.
     template <class M>
     bool send(const node_id& to, const M& message)
     {
@@ -49,12 +52,14 @@
         return true;
     }
 
+    /// Returns a link that is up, or null.
     [[nodiscard]] net::link* link_to(const node_id& to) const;
-    /// So much waits for that host that a message which is soon out of date is better left out.
+    /// Returns whether so many bytes wait to be sent to the host that messages which soon become
+    /// outdated should not be queued.
     [[nodiscard]] bool congested(const node_id& to) const;
-    /// Hosts with a disk, this one included if it has one.
+    /// Core hosts with their failure domains. Includes this host if it has a disk.
     [[nodiscard]] const std::map<node_id, std::string>& core() const noexcept { return core_; }
-    /// All hosts that a link is up to.
+    /// All hosts to which a link is up.
     [[nodiscard]] std::vector<node_id> linked() const;
     [[nodiscard]] bool is_core(const node_id& host) const { return core_.contains(host); }
     [[nodiscard]] const node_id& self() const noexcept { return self_.host; }
@@ -62,7 +67,7 @@
 private:
     peer_mesh(runtime& env, net::peer_address self, bool has_disk, mesh_hooks hooks);
     result<void> open_listener();
-    void dial(const node_id& host);
+    void connect_to(const node_id& host);
     void on_up(net::link& it);
     void on_down(net::link& it, std::string_view why);
     [[nodiscard]] wire::hello hello() const;
@@ -72,7 +77,7 @@
     net::peer_address self_;
     bool has_disk_;
     mesh_hooks hooks_;
-    std::map<node_id, std::string> core_; ///< with each one's failure domain
+    std::map<node_id, std::string> core_; ///< failure domain by host
     std::map<node_id, std::unique_ptr<net::connector>> connectors_;
     std::map<node_id, std::set<net::link*>> incoming_;
     std::unique_ptr<net::listener> listener_;
--- a/src/gateway/request_journal.cpp
+++ b/src/gateway/request_journal.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Failures may write this many times the lines of requests that went well.
+/// Rate limit of lines about failures, relative to the limit of lines about successful requests.
 constexpr double failure_factor = 10;
 constexpr double micros_per_second = 1e6;
 
@@ -36,7 +36,7 @@
     return "unknown";
 }
 
-std::string labelled(std::string_view name, const gateway::exchange_record& record)
+std::string requests_total_key(std::string_view name, const gateway::exchange_record& record)
 {
     std::string out{name};
     out.append("{route=\"").append(record.route).append("\",kind=\"");
@@ -48,28 +48,28 @@
 } // namespace
 
 request_journal::request_journal(runtime& env, double lines_per_second)
-    : env_{env}, ordinary_per_second_{lines_per_second}, ordinary_left_{lines_per_second},
-      failures_left_{lines_per_second * failure_factor}
+    : env_{env}, lines_per_second_{lines_per_second}, ordinary_budget_{lines_per_second},
+      failure_budget_{lines_per_second * failure_factor}
 {
 }
 
 bool request_journal::may_write(bool failure)
 {
-    double& left = failure ? failures_left_ : ordinary_left_;
-    if (left < 1) {
-        ++(failure ? failures_left_out_ : left_out_);
+    double& budget = failure ? failure_budget_ : ordinary_budget_;
+    if (budget < 1) {
+        ++(failure ? suppressed_failures_ : suppressed_ordinary_);
         return false;
     }
-    left -= 1;
+    budget -= 1;
     return true;
 }
 
 void request_journal::finished(const gateway::exchange_record& record)
 {
-    constexpr unsigned first_error = 400;
+    constexpr unsigned first_error_status = 400;
     const bool failure = record.outcome != gateway::exchange_outcome::answered ||
-                         record.status >= first_error || record.attempts > 1;
-    env_.metrics.count(labelled("requests_total", record));
+                         record.status >= first_error_status || record.attempts > 1;
+    env_.metrics.count(requests_total_key("requests_total", record));
     env_.metrics.count("attempts_total", record.attempts);
     env_.metrics.observe("request_seconds",
                          static_cast<double>(record.total.count()) / micros_per_second);
@@ -213,18 +213,18 @@
 
 void request_journal::tick()
 {
-    ordinary_left_ = ordinary_per_second_;
-    failures_left_ = ordinary_per_second_ * failure_factor;
-    if (left_out_ + failures_left_out_ == 0) {
+    ordinary_budget_ = lines_per_second_;
+    failure_budget_ = lines_per_second_ * failure_factor;
+    if (suppressed_ordinary_ + suppressed_failures_ == 0) {
         return;
     }
     telemetry::event_line line{"lines_left_out"};
-    line.add("ordinary", left_out_).add("failures", failures_left_out_);
+    line.add("ordinary", suppressed_ordinary_).add("failures", suppressed_failures_);
     env_.log->info("{}", line.payload());
     env_.metrics.count("log_lines_left_out_total",
-                       static_cast<double>(left_out_ + failures_left_out_));
-    left_out_ = 0;
-    failures_left_out_ = 0;
+                       static_cast<double>(suppressed_ordinary_ + suppressed_failures_));
+    suppressed_ordinary_ = 0;
+    suppressed_failures_ = 0;
 }
 
 } // namespace hickorypost
--- a/src/gateway/request_journal.h
+++ b/src/gateway/request_journal.h
@@ -6,41 +6,47 @@
 
 namespace hickorypost {
 
-/// Log lines and metrics of requests. Failures are always preferred: lines for what went well are
-/// bounded by a rate, and what was left out is counted.
+/// Writes log lines and metrics of requests. The lines of failed requests and those of successful
+/// requests have separate rate limits; the limit of failures is ten times as high. Suppressed lines
+/// are counted.
 class request_journal {
 public:
     request_journal(runtime& env, double lines_per_second);
 
+    /// Records a request that has ended, answered or not.
     void finished(const gateway::exchange_record& record);
-    /// Refused before any attempt.
+    /// Records a request that was refused before any attempt.
     void rejected(const gateway::caller_request& request, unsigned status, std::string_view why,
                   std::uint64_t config_version);
+    /// Records a decision about a request. `what` is the part of the event name after "request_".
     void decision(const gateway::exchange_record& record, std::string_view what,
                   std::string_view why);
-    /// A backend server has ended while this request was in flight there.
-    /// `crashes`: that count against the request; `known`: that it was in flight in.
+    /// Records that a backend server ended while this request was in flight there. `crashes`:
+    /// number of crashes that count against the request; `known`: number of known crashes during
+    /// which the request was in flight, whether they count against it or not.
     void crashed(const gateway::crashed_attempt& attempt, std::uint32_t crashes, std::size_t known);
-    /// The connection of a request in flight was lost, and a new one was refused or accepted.
+    /// Records the result of a crash check: the connection of a request in flight was lost, and the
+    /// backend server refused or accepted a new one.
     void crash_checked(std::string_view backend, bool refused);
-    /// Heartbeats show that a backend server has not crashed.
+    /// Records that heartbeats have shown that a backend server has not crashed.
     void crash_refuted(std::string_view backend, std::size_t requests);
-    /// A backend server's limit has begun, changed or ended.
+    /// Records that a backend server's request limit has begun, changed or ended.
     void limit_changed(const gateway::limit_change& change);
-    /// A connection was closed while its caller was owed an answer.
+    /// Records a connection that was closed although its caller may not have received its whole
+    /// answer.
     void lost(const connection_loss& loss);
-    /// Once a second: renews the line budgets and logs how many lines were left out.
+    /// Call once a second. Renews the line budgets and logs how many lines were suppressed.
     void tick();
 
 private:
     bool may_write(bool failure);
 
     runtime& env_;
-    double ordinary_per_second_;
-    double ordinary_left_;
-    double failures_left_;
-    std::uint64_t left_out_ = 0;
-    std::uint64_t failures_left_out_ = 0;
+    double lines_per_second_;
+    double ordinary_budget_;
+    double failure_budget_;
+    std::uint64_t suppressed_ordinary_ = 0;
+    std::uint64_t suppressed_failures_ = 0;
 };
 
 } // namespace hickorypost
