--- a/modules/routing/include/hickorypost/routing/router.h
+++ b/modules/routing/include/hickorypost/routing/router.h
@@ -124,7 +124,7 @@
         std::uint32_t slots = 1;
         bool leaving = false;
         bool linked = false;
-        instant slow_start_from;         ///< start of the slow start
+        instant slow_start_from;
         std::uint32_t own_in_flight = 0; ///< requests of this entry in flight
         double others_in_flight = 0;     ///< moving average of the requests of other entries
         double latency_factor = 1; ///< measured ratio of time to first token to the modelled time
@@ -152,10 +152,10 @@
     std::vector<std::optional<backend_state>> backends_;
     std::vector<std::size_t> free_slots_;
     std::map<backend_id, std::size_t> slot_of_;
-    std::map<node_id, std::vector<backend_id>> of_agent_;
+    std::map<node_id, std::vector<backend_id>> backends_of_agent_;
     std::unordered_map<model_version, std::vector<std::size_t>, model_version_hash> pools_;
     std::unordered_map<std::uint64_t, std::size_t>
-        prefix_slot_; ///< slot of the backend server that last got the prefix
+        slot_of_prefix_; ///< slot of the backend server that last got the prefix
     std::uint64_t next_turn_ = 0;
     double mean_total_us_ = 0; ///< moving average of the time of whole answers, all backend servers
 };
--- a/modules/routing/src/router.cpp
+++ b/modules/routing/src/router.cpp
@@ -14,8 +14,8 @@
 /// Weight of the newest load report in the moving average of the other entries' requests. Reports
 /// arrive late and the load changes faster than they arrive, so only their average is meaningful.
 constexpr double report_gain = 0.02;
-/// The weight of the n-th answer is 1 / (initial_answer_weight + n), but at least the minimum
-/// above.
+/// The weight of the n-th answer is 1 / (initial_answer_weight + n), but at least
+/// min_latency_gain.
 constexpr double initial_answer_weight = 10;
 /// Weight of the newest answer in the moving average of the time of whole answers.
 constexpr double total_gain = 0.005;
@@ -79,7 +79,7 @@
 
 void router::upsert(const wire::agent_info& agent, instant now)
 {
-    auto& known = of_agent_[agent.node];
+    auto& known = backends_of_agent_[agent.node];
     for (const auto& id : std::vector<backend_id>{known}) {
         const bool kept = std::any_of(agent.backends.begin(), agent.backends.end(),
                                       [&](const auto& it) { return it.name == id.backend; });
@@ -134,20 +134,20 @@
 
 void router::remove(const node_id& agent)
 {
-    const auto it = of_agent_.find(agent);
-    if (it == of_agent_.end()) {
+    const auto it = backends_of_agent_.find(agent);
+    if (it == backends_of_agent_.end()) {
         return;
     }
     for (const auto& id : it->second) {
         remove_backend(id);
     }
-    of_agent_.erase(it);
+    backends_of_agent_.erase(it);
 }
 
 void router::set_linked(const node_id& agent, bool linked, instant now)
 {
-    const auto known = of_agent_.find(agent);
-    if (known == of_agent_.end()) {
+    const auto known = backends_of_agent_.find(agent);
+    if (known == backends_of_agent_.end()) {
         return;
     }
     for (const auto& id : known->second) {
@@ -286,8 +286,8 @@
         consider(pool[random_() % pool.size()]);
     }
     if (query.prefix != 0) {
-        if (const auto prefix_slot = prefix_slot_.find(query.prefix);
-            prefix_slot != prefix_slot_.end() && prefix_slot->second < backends_.size() &&
+        if (const auto prefix_slot = slot_of_prefix_.find(query.prefix);
+            prefix_slot != slot_of_prefix_.end() && prefix_slot->second < backends_.size() &&
             backends_[prefix_slot->second] &&
             std::find(pool.begin(), pool.end(), prefix_slot->second) != pool.end()) {
             consider(prefix_slot->second);
@@ -326,10 +326,10 @@
         it->prefixes.erase(it->prefixes.begin());
     }
     it->prefixes[prefix] = now;
-    if (prefix_slot_.size() >= max_prefix_slots) {
-        prefix_slot_.erase(prefix_slot_.begin());
+    if (slot_of_prefix_.size() >= max_prefix_slots) {
+        slot_of_prefix_.erase(slot_of_prefix_.begin());
     }
-    prefix_slot_[prefix] = slot_of_[id];
+    slot_of_prefix_[prefix] = slot_of_[id];
 }
 
 void router::ended(const backend_id& id, const attempt_report& report, instant now)
