--- a/modules/replog/include/hickorypost/replog/group.h
+++ b/modules/replog/include/hickorypost/replog/group.h
@@ -17,20 +17,21 @@
     std::string result;
 };
 
-/// How a group reaches its surroundings.
+/// Callbacks through which a group sends messages, persists data and reports applied commands.
 struct group_hooks {
     std::function<void(const node_id& to, const message&)> send;
     std::function<void(persist_batch)> persist;
-    /// Called after each committed command was applied.
+    /// Called after each committed command has been applied to the state machine.
     std::function<void(const entry&)> applied;
 };
 
 struct group_options {
-    /// Commands applied between two snapshots of the state.
+    /// Number of log entries applied between two snapshots of the state.
     std::uint64_t snapshot_every = 20'000;
 };
 
-/// A replica with its state machine: proposals in, answers out. Sans I/O.
+/// Combines a replica with its state machine: takes proposals and reads, and returns their results
+/// through callbacks. Performs no I/O itself.
 class group {
 public:
     using answer_fn = std::function<void(const group_answer&)>;
@@ -42,16 +43,21 @@
     void receive(const message& msg, instant now);
     void persisted(std::uint64_t ticket, instant now);
 
-    /// `done` is called once: with the state machine's answer when the command has committed, or
-    /// with why it could not be taken. `unavailable` leaves the command's fate unknown.
+    /// Calls `done` once: with the state machine's result after the command has been committed and
+    /// applied, or with `not_leader` or `unavailable`. After `unavailable`, the command may or may
+    /// not have been committed.
     void propose(std::string command, std::int64_t wall_ms, instant now, answer_fn done);
-    /// Linearizable: only the leader under a valid lease answers.
+    /// Linearizable read, served only by a leader that holds a valid lease; otherwise `done` gets
+    /// `not_leader` or `unavailable`.
     void read(std::string_view query, instant now, const answer_fn& done);
-    /// Like `read`, without trust in clocks: answered once a quorum has confirmed, after the call
-    /// began, that this replica leads. For hosts whose clocks may stand still.
+    /// Linearizable read that does not depend on clocks: `done` is called once a quorum has
+    /// confirmed, after this call began, that this replica is the leader. For hosts whose clocks
+    /// may stop, for example while a virtual machine is paused.
     void read_confirmed(std::string_view query, instant now, answer_fn done);
+    /// Transfers leadership to the voter with the longest replicated log, if this replica leads.
     void hand_over(instant now);
 
+    /// True while this replica leads under a valid lease.
     [[nodiscard]] bool leads(instant now) const { return core_->lease_valid(now); }
     [[nodiscard]] std::uint64_t applied_index() const noexcept { return applied_; }
     [[nodiscard]] const replica& core() const noexcept { return *core_; }
@@ -71,7 +77,7 @@
         answer_fn done;
     };
 
-    void pump();
+    void process_effects();
     void answer_reads();
     void apply(const entry& it);
     void fail_pending();
@@ -84,7 +90,7 @@
     std::vector<pending_read> reads_;
     std::uint64_t applied_ = 0;
     std::uint64_t snapshot_index_ = 0;
-    bool pumping_ = false;
+    bool processing_effects_ = false;
 };
 
 } // namespace hickorypost::replog
--- a/modules/replog/include/hickorypost/replog/replica.h
+++ b/modules/replog/include/hickorypost/replog/replica.h
@@ -9,8 +9,9 @@
 
 namespace hickorypost::replog {
 
-/// What one step asks of its driver. Persist batches go to disk in order; messages in `send` may
-/// leave at once; `committed` is applied in order; `install` replaces the state machine's state.
+/// Actions that the caller must carry out after a step of the replica. Batches in `persist` are
+/// written to disk in order, messages in `send` may be sent immediately, `install` replaces the
+/// state of the state machine, and then `committed` is applied in order.
 struct effects {
     std::vector<persist_batch> persist;
     std::vector<outgoing> send;
@@ -19,47 +20,53 @@
 };
 
 /// One replica of a replicated log group: election with pre-vote, check-quorum leader lease,
-/// learners, one membership change at a time, and catch-up by snapshot pieces.
+/// learners, one membership change at a time, and catch-up by snapshots sent in pieces.
 ///
-/// Sans I/O: fed with messages, ticks and disk completions, it answers with effects.
+/// Performs no I/O: its inputs are messages, ticks and disk completions, its output is `effects`.
 class replica {
 public:
-    /// `founders`: the hosts that form the group at its very first start; the first of them founds.
+    /// `founders` are the hosts that form the group at its first start. The first of them creates
+    /// the initial configuration.
     replica(recovered_state recovered, std::vector<node_id> founders, replica_options options,
             random_fn random, instant now);
 
-    /// Drives timeouts; call at least every `heartbeat`.
+    /// Drives timeouts; must be called at least once per `replica_options::heartbeat`.
     void tick(instant now);
     void receive(const message& msg, instant now);
-    /// All batches up to `ticket` are synced.
+    /// Reports that all batches up to `ticket` are synced to disk.
     void persisted(std::uint64_t ticket, instant now);
 
-    /// Appends a command if this replica leads; gives its index.
+    /// Appends a command if this replica leads. Returns its index, or nothing on any other replica.
     std::optional<std::uint64_t> propose(std::string command, std::int64_t wall_ms, instant now);
-    /// Tells that the state machine's state after `index` is `state`; forgets entries before it.
+    /// Stores `state`, the state machine's state after `index`, as the new snapshot and drops log
+    /// entries that are older than `replica_options::retained_entries` before it.
     void compact(std::uint64_t index, std::string state);
-    /// Gives leadership to the follower with the longest log, if this replica leads.
+    /// Transfers leadership to the voter with the longest replicated log, if this replica leads.
     void hand_over(instant now);
-    /// Adds hosts to speak to, besides founders and members (a replacement host).
+    /// Adds a host that is neither founder nor voter, such as a replacement host. A fresh replica
+    /// probes it, and a leader admits its disk as a learner.
     void add_contact(const node_id& node);
-    /// Names the founding hosts of a group whose hosts are not known at the start. Only for a disk
-    /// that is still fresh; the first of them founds.
+    /// Sets the founding hosts of a group whose hosts were not known at construction. The first of
+    /// them creates the initial configuration. Has no effect unless the disk is fresh.
     void set_founders(std::vector<node_id> founders);
-    /// True once a host has shown that the group exists already: it must not be founded again.
+    /// True if this disk belongs to the group, or once another host has reported that the group
+    /// exists: the group must not be founded again.
     [[nodiscard]] bool group_exists() const noexcept
     {
         return group_exists_ || role_ != replica_role::fresh;
     }
-    /// Asks the followers for a sign at once, for `confirmed_since`.
-    void ask_confirmation(instant now);
-    /// True if a quorum has answered something that this leader sent at `since` or later: until
-    /// then no other leader had been elected, whatever the clocks of the hosts say.
-    [[nodiscard]] bool confirmed_since(instant since) const;
-
+    /// Sends heartbeats immediately; their replies make `leadership_confirmed_since` true.
+    void request_confirmation(instant now);
+    /// True if a quorum has replied to messages that this leader sent at `since` or later. Then no
+    /// other leader had been elected in a later term before `since`, whatever the hosts' clocks
+    /// show.
+    [[nodiscard]] bool leadership_confirmed_since(instant since) const;
+
+    /// Returns the actions collected since the last call.
     effects take_effects();
 
-    /// True while no other replica can have committed anything that this one does not know: a
-    /// quorum answered recently enough, and this term's own first entry is committed.
+    /// True while no other replica can have committed an entry that this leader does not know: a
+    /// quorum has replied within the lease duration, and the first entry of this term is committed.
     [[nodiscard]] bool lease_valid(instant now) const;
     [[nodiscard]] replica_role role() const noexcept { return role_; }
     [[nodiscard]] const node_id& leader() const noexcept { return leader_; }
@@ -68,7 +75,7 @@
     [[nodiscard]] std::uint64_t last_index() const noexcept;
     [[nodiscard]] const group_config& config() const noexcept { return config_; }
     [[nodiscard]] const member& self() const noexcept { return self_; }
-    /// Entries held in memory since the last snapshot.
+    /// Number of log entries in memory, including those retained before the last snapshot.
     [[nodiscard]] std::size_t log_entries() const noexcept { return log_.size(); }
 
 private:
@@ -77,15 +84,15 @@
         std::uint64_t match = 0;
         std::uint64_t next = 1;
         std::size_t inflight = 0;
-        bool probing = true; ///< one append at a time until a match is found
-        instant lease_from;  ///< when the newest answered message was sent
+        bool probing = true;     ///< one append in flight at a time until the logs match
+        instant acked_send_time; ///< send time of the newest message that has been replied to
         instant last_answer;
         std::optional<std::uint64_t> snapshot_offset;
         std::uint64_t snapshot_index = 0;
         instant snapshot_sent;
     };
 
-    struct held_message {
+    struct deferred_message {
         std::uint64_t ticket = 0;
         outgoing out;
     };
@@ -106,12 +113,12 @@
     [[nodiscard]] std::size_t quorum() const noexcept { return config_.voters.size() / 2 + 1; }
     [[nodiscard]] std::set<node_id> contacts() const;
     void propose_config(const group_config& config, instant now);
-    void consider_membership(instant now);
+    void update_membership(instant now);
     bool admit_learner(instant now);
     bool promote_learner(instant now);
-    [[nodiscard]] bool is_listed(const node_id& node) const;
+    [[nodiscard]] bool may_join(const node_id& node) const;
     [[nodiscard]] bool is_silent(const member& who, instant now) const;
-    [[nodiscard]] std::size_t wanted_voters() const noexcept
+    [[nodiscard]] std::size_t target_voters() const noexcept
     {
         return options_.voters > 0 ? options_.voters : founders_.size();
     }
@@ -142,8 +149,9 @@
     void deliver_committed();
     void rebuild_progress(instant now);
     void check_quorum(instant now);
-    /// When the oldest message was sent that a quorum has answered or outdone; `own`: for this one.
-    [[nodiscard]] std::optional<instant> quorum_heard(instant own) const;
+    /// Latest time such that a quorum has replied to messages sent at that time or later; `own` is
+    /// the time counted for this replica itself. Nothing if no quorum has replied yet.
+    [[nodiscard]] std::optional<instant> quorum_contact_time(instant own) const;
 
     // Effects.
     persist_batch& open_batch();
@@ -173,8 +181,8 @@
     std::uint64_t persisted_index_ = 0;
     std::uint64_t term_start_index_ = 0;
     bool lease_given_up_ = false;
-    bool heard_any_leader_ = false; ///< since this process began
-    instant early_until_;           ///< end of the quick elections after a start
+    bool heard_any_leader_ = false; ///< since the process started
+    instant fast_elections_until_;  ///< end of the shorter election timeouts after a start
     bool group_exists_ = false;
 
     instant last_heard_leader_;
@@ -183,7 +191,7 @@
     instant probe_due_;
     std::set<member> votes_;
     std::map<member, progress> peers_;
-    std::map<node_id, member> fresh_disks_; ///< hosts seen with a disk that is in no configuration
+    std::map<node_id, member> fresh_disks_; ///< latest fresh disk reported by each host
 
     std::string incoming_snapshot_;
     std::uint64_t incoming_snapshot_index_ = 0;
@@ -191,7 +199,7 @@
     std::uint64_t next_ticket_ = 1;
     std::uint64_t persisted_ticket_ = 0;
     std::deque<std::pair<std::uint64_t, std::uint64_t>> ticket_last_index_;
-    std::vector<held_message> held_;
+    std::vector<deferred_message> deferred_messages_;
     effects effects_;
 };
 
--- a/modules/replog/include/hickorypost/replog/replica_store.h
+++ b/modules/replog/include/hickorypost/replog/replica_store.h
@@ -9,17 +9,19 @@
 
 /// A replica's disk: identity, hard state, log entries and the last snapshot.
 ///
-/// Used by one thread. Errors are `storage::storage_error`; after one, the process must restart.
+/// Used by one thread. Errors are `storage::storage_error`; after an error, the process must
+/// restart.
 class replica_store {
 public:
-    /// Opens or creates the files that begin with `prefix`; a new disk draws a new identity.
+    /// Opens or creates the files whose names begin with `prefix`. A disk without an identity file
+    /// gets a random identity.
     static result<std::unique_ptr<replica_store>> open(storage::file_system& fs, std::string prefix,
                                                        node_id self, const random_fn& random);
 
-    /// What the disk held when it was opened; call once.
+    /// Returns the state that was read when the store was opened. Must be called at most once.
     recovered_state take_recovered() { return std::move(recovered_); }
 
-    /// Writes a batch; it lasts after the next `sync`.
+    /// Writes a batch; it is durable only after the next `sync`.
     result<void> append(const persist_batch& batch);
     result<void> sync();
 
@@ -33,7 +35,7 @@
     storage::file_system* fs_;
     std::string prefix_;
     recovered_state recovered_;
-    hard_state hard_; ///< the newest written; repeated at the start of each journal segment
+    hard_state hard_; ///< last written; repeated at the start of each journal segment
     std::optional<storage::journal> journal_;
 };
 
--- a/modules/replog/include/hickorypost/replog/sync_task.h
+++ b/modules/replog/include/hickorypost/replog/sync_task.h
@@ -8,12 +8,12 @@
 
 namespace hickorypost::replog {
 
-/// The task that owns a replica's disk: takes batches by message, writes all that wait, syncs once
-/// (group commit), and reports the newest ticket that lasts.
+/// Owns a replica's store and writes to it on its own thread. Writes all queued batches, syncs once
+/// for all of them (group commit), and reports the ticket of the last durable batch.
 class sync_task {
 public:
-    /// Both hooks run on the task's own thread. After `on_error` nothing more is written: what the
-    /// disk holds is unknown until the process restarts and reads it back.
+    /// Both callbacks run on the task's thread. After `on_error` nothing more is written: the
+    /// contents of the disk are unknown until the process restarts and reads them back.
     using done_fn = std::function<void(std::uint64_t ticket)>;
     using error_fn = std::function<void(const storage::storage_error&)>;
 
@@ -22,6 +22,7 @@
     sync_task(const sync_task&) = delete;
     sync_task& operator=(const sync_task&) = delete;
 
+    /// Queues a batch for writing. May be called from any thread.
     void submit(persist_batch batch);
 
 private:
@@ -34,7 +35,7 @@
     std::mutex mutex_;
     std::condition_variable_any wake_;
     std::vector<persist_batch> waiting_;
-    std::jthread thread_; ///< last: joins before what it uses goes
+    std::jthread thread_; ///< last member: joined before the members that it uses are destroyed
 };
 
 } // namespace hickorypost::replog
--- a/modules/replog/include/hickorypost/replog/types.h
+++ b/modules/replog/include/hickorypost/replog/types.h
@@ -11,8 +11,8 @@
 
 namespace hickorypost::replog {
 
-/// A replica's identity is bound to its disk: a host whose disk was lost comes back as another
-/// member, so that it cannot vote with a memory it no longer has.
+/// Identity of a replica: its host and its disk. A host that has lost its disk returns as a new
+/// member, so that it cannot vote again in a term whose vote and log entries it has lost.
 struct member {
     node_id node;
     std::uint64_t disk = 0;
@@ -23,7 +23,7 @@
 
 struct group_config {
     std::vector<member> voters;
-    std::vector<member> learners; ///< receive the log, count for no quorum
+    std::vector<member> learners; ///< receive the log but do not count towards a quorum
 
     friend bool operator==(const group_config&, const group_config&) = default;
 };
@@ -34,11 +34,11 @@
     std::uint64_t index = 0;
     std::uint64_t term = 0;
     entry_kind kind = entry_kind::command;
-    std::int64_t wall_ms = 0; ///< the leader's stamp; state machines' only clock
+    std::int64_t wall_ms = 0; ///< leader's wall clock; the only time a state machine may use
     std::string data;
 };
 
-/// What a replica must remember across restarts besides its log.
+/// State that a replica must keep across restarts in addition to its log.
 struct hard_state {
     std::uint64_t term = 0;
     std::optional<member> voted_for;
@@ -52,28 +52,29 @@
     std::string state;
 };
 
-/// What storage gives back at a start.
+/// State that is read from disk at a start.
 struct recovered_state {
     member self;
     hard_state hard;
-    std::optional<snapshot> base; ///< missing: this disk was never part of the group
-    std::vector<entry> entries;   ///< follow `base`
+    std::optional<snapshot> base; ///< empty if this disk was never part of the group
+    std::vector<entry> entries;   ///< entries after `base`
 };
 
-/// One message type for the whole group protocol, told apart by `kind`; unused fields stay empty.
+/// Kinds of `message`.
 enum class message_kind : std::uint8_t {
-    probe,       ///< "who are you": founding and learner admission
+    probe,       ///< asks for the disk identity, for founding and admission of learners
     probe_reply, ///< disk identity and whether the disk is fresh
-    found,       ///< offers the founding configuration to a fresh disk that it names
-    vote_query,  ///< vote request; with `pre_vote` only asks whether one would be granted
+    found,       ///< offers the initial configuration to a fresh disk listed in it
+    vote_query,  ///< vote request; with `pre_vote`, asks whether a vote would be granted
     vote_reply,
     append, ///< entries after (prev_index, prev_term), or a heartbeat
     append_reply,
     snapshot_piece,
     snapshot_reply,
-    campaign_now, ///< leadership handed over
+    campaign_now, ///< transfers leadership: the receiver starts an election immediately
 };
 
+/// The message type of the whole group protocol. Fields that a kind does not use stay empty.
 struct message {
     message_kind kind = message_kind::probe;
     member from;
@@ -84,8 +85,8 @@
     std::uint64_t prev_index = 0; ///< append: before the entries; vote_query: last index
     std::uint64_t prev_term = 0;
     std::uint64_t commit = 0;
-    std::uint64_t match = 0;   ///< append_reply: synced up to here, or where to retry from
-    std::uint64_t sent_us = 0; ///< sender's clock, echoed by replies; carries the leader's lease
+    std::uint64_t match = 0;   ///< append_reply: last index synced, or index to retry after
+    std::uint64_t sent_us = 0; ///< sender's clock, echoed in replies; base of the leader's lease
     std::vector<entry> entries;
     std::optional<group_config> config;
     std::uint64_t snapshot_index = 0;
@@ -93,16 +94,16 @@
     std::uint64_t offset = 0;
     std::uint64_t total = 0;
     std::string bytes;
-    bool needs_snapshot = false; ///< append_reply: this disk holds no part of the log yet
+    bool needs_snapshot = false; ///< append_reply: this disk has no part of the log yet
 };
 
-/// What must reach the disk before the messages that depend on it may leave.
+/// Data that must be on disk before the messages that depend on it may be sent.
 struct persist_batch {
     std::uint64_t ticket = 0;
     std::optional<hard_state> hard;
-    std::optional<snapshot> base; ///< install or compaction
-    bool reset_log = false;       ///< drop all entries: `base` came from the leader
-    std::vector<entry> entries;   ///< an entry replaces any at or after its index
+    std::optional<snapshot> base; ///< new snapshot, received from the leader or made by compaction
+    bool reset_log = false;       ///< drop all entries, as `base` came from the leader
+    std::vector<entry> entries;   ///< each replaces all stored entries at or after its index
 };
 
 struct outgoing {
@@ -123,25 +124,26 @@
     millis heartbeat{50};
     millis election_min{400};
     millis election_max{800};
-    /// Bound on how much faster one host's monotonic clock runs than another's.
+    /// Upper bound on the relative difference in rate between the monotonic clocks of two hosts.
     double clock_drift = 0.01;
     std::size_t max_append_bytes = std::size_t{1} << 20U;
     std::size_t snapshot_piece_bytes = std::size_t{256} << 10U;
-    /// Entries kept before the last snapshot, so that a short absence costs no snapshot.
+    /// Entries kept before the last snapshot, so that a follower that was down for a short time
+    /// catches up without a snapshot.
     std::size_t retained_entries = 4096;
-    /// Append messages with entries that may be unanswered per follower.
+    /// Maximum number of append messages with entries that await a reply, per follower.
     std::size_t max_inflight = 8;
-    /// A replica votes, and stands for election, soon after its start. Without it a restarted
-    /// replica first waits out a lease that a leader may hold, which costs all callers that time
-    /// when every host has lost power. Only where nothing is read under the lease
-    /// (`group::read_confirmed`).
+    /// Allows a replica to vote and to start an election soon after its start. If false, a
+    /// restarted replica first waits until any lease of a leader has expired, and all callers wait
+    /// as long after every host has lost power. Safe only if all reads use `group::read_confirmed`
+    /// instead of the lease.
     bool vote_at_start = false;
-    /// Voters wanted; 0: as many as there are founders.
+    /// Target number of voters; 0 means the number of founders.
     std::size_t voters = 0;
-    /// Any host that shows a fresh disk may join, not only those that are listed.
+    /// Any host with a fresh disk may join, not only founders and added contacts.
     bool admit_any_host = false;
-    /// A voter that has been silent for this long gives its vote to a learner that has all the log.
-    /// Until then the loss of a second voter would stop the group. 0: never.
+    /// A voter that has not replied for this long is replaced by a learner that has caught up.
+    /// Until then, the loss of a second voter of three stops the group. 0 disables replacement.
     millis replace_silent_after{0};
 };
 
--- a/modules/replog/src/group.cpp
+++ b/modules/replog/src/group.cpp
@@ -9,25 +9,25 @@
     : core_{std::move(core)}, machine_{std::move(machine)}, hooks_{std::move(hooks)}, options_{
                                                                                           options}
 {
-    pump();
+    process_effects();
 }
 
 void group::tick(instant now)
 {
     core_->tick(now);
-    pump();
+    process_effects();
 }
 
 void group::receive(const message& msg, instant now)
 {
     core_->receive(msg, now);
-    pump();
+    process_effects();
 }
 
 void group::persisted(std::uint64_t ticket, instant now)
 {
     core_->persisted(ticket, now);
-    pump();
+    process_effects();
 }
 
 void group::propose(std::string command, std::int64_t wall_ms, instant now, answer_fn done)
@@ -38,7 +38,7 @@
         return;
     }
     pending_.emplace(*index, pending_proposal{core_->term(), std::move(done)});
-    pump();
+    process_effects();
 }
 
 void group::read(std::string_view query, instant now, const answer_fn& done)
@@ -61,14 +61,15 @@
         return;
     }
     reads_.push_back({now, std::string{query}, std::move(done)});
-    core_->ask_confirmation(now);
-    pump();
+    core_->request_confirmation(now);
+    process_effects();
 }
 
 void group::answer_reads()
 {
     for (std::size_t n = 0; n < reads_.size();) {
-        if (!core_->confirmed_since(reads_[n].since) || applied_ < core_->commit_index()) {
+        if (!core_->leadership_confirmed_since(reads_[n].since) ||
+            applied_ < core_->commit_index()) {
             ++n;
             continue;
         }
@@ -81,16 +82,16 @@
 void group::hand_over(instant now)
 {
     core_->hand_over(now);
-    pump();
+    process_effects();
 }
 
-void group::pump()
+void group::process_effects()
 {
-    // Hooks and answers may call back into the group; the outer call drains what they cause.
-    if (pumping_) {
+    // Callbacks may call back into the group; the outermost call processes the resulting effects.
+    if (processing_effects_) {
         return;
     }
-    pumping_ = true;
+    processing_effects_ = true;
     while (true) {
         effects out = core_->take_effects();
         if (out.persist.empty() && out.send.empty() && out.committed.empty() && !out.install) {
@@ -115,7 +116,7 @@
             core_->compact(applied_, machine_->save());
         }
     }
-    pumping_ = false;
+    processing_effects_ = false;
     answer_reads();
     if (core_->role() != replica_role::leader && !(pending_.empty() && reads_.empty())) {
         fail_pending();
@@ -136,6 +137,7 @@
     }
     auto waiting = std::move(found->second);
     pending_.erase(found);
+    // An entry of another term at this index means that the proposed command was overwritten.
     const bool ours = waiting.term == it.term;
     waiting.done(ours ? group_answer{group_status::done, core_->self().node, std::move(answer)}
                       : group_answer{group_status::unavailable, {}, {}});
--- a/modules/replog/src/replica.cpp
+++ b/modules/replog/src/replica.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-/// How long after a start elections follow each other quickly. Links between hosts are up within
-/// half a second; disks that take a tenth of a second to sync a vote need longer pauses after that.
-constexpr millis early_elections{1500};
+/// Time after a start during which election timeouts are short. Links between hosts are up within
+/// 0.5 s. After this period timeouts are longer, for disks that take 0.1 s to sync a vote.
+constexpr millis fast_election_period{1500};
 
 } // namespace
 
@@ -38,7 +38,7 @@
     persisted_index_ = last_index();
     if (options_.vote_at_start) {
         last_heard_leader_ = now - options_.election_min;
-        early_until_ = now + early_elections;
+        fast_elections_until_ = now + fast_election_period;
     }
     reset_election_timer(now);
 }
@@ -47,7 +47,7 @@
 {
     for (auto& it : entries) {
         if (it.index == log_start_index_ && it.term != log_start_term_) {
-            // The snapshot came from a leader whose log differs from ours: ours is void.
+            // The snapshot came from a leader whose log differs from this one: discard this log.
             log_.clear();
             return;
         }
@@ -94,7 +94,7 @@
 
 void replica::truncate_from(std::uint64_t index)
 {
-    // A committed entry is on a quorum; a leader that contradicts it must not exist.
+    // Committed entries are stored on a quorum, so no leader can be elected that lacks them.
     assert(index > commit_);
     while (last_index() >= index) {
         log_.pop_back();
@@ -192,14 +192,15 @@
 
 void replica::send_after_persist(const node_id& to, message body)
 {
-    // A vote or an acknowledgement that a crash could take back would let two leaders act, or a
-    // committed entry vanish; it leaves only once its cause is on disk.
+    // If a crash undid a vote, two leaders could be elected in one term; if it undid an
+    // acknowledged append, a committed entry could be lost. The message is therefore sent only
+    // after the data that it depends on is on disk.
     const std::uint64_t ticket = next_ticket_ - 1;
     if (persisted_ticket_ >= ticket) {
         send_now(to, std::move(body));
         return;
     }
-    held_.push_back({ticket, {to, std::move(body)}});
+    deferred_messages_.push_back({ticket, {to, std::move(body)}});
 }
 
 effects replica::take_effects()
@@ -217,12 +218,13 @@
         persisted_index_ = std::max(persisted_index_, ticket_last_index_.front().second);
         ticket_last_index_.pop_front();
     }
-    const auto ready = std::stable_partition(
-        held_.begin(), held_.end(), [&](const held_message& it) { return it.ticket > ticket; });
-    std::vector<held_message> leaving{std::make_move_iterator(ready),
-                                      std::make_move_iterator(held_.end())};
-    held_.erase(ready, held_.end());
-    for (auto& it : leaving) {
+    const auto ready =
+        std::stable_partition(deferred_messages_.begin(), deferred_messages_.end(),
+                              [&](const deferred_message& it) { return it.ticket > ticket; });
+    std::vector<deferred_message> ready_messages{std::make_move_iterator(ready),
+                                                 std::make_move_iterator(deferred_messages_.end())};
+    deferred_messages_.erase(ready, deferred_messages_.end());
+    for (auto& it : ready_messages) {
         effects_.send.push_back(std::move(it.out));
     }
     if (role_ == replica_role::candidate && votes_.size() >= quorum()) {
@@ -250,7 +252,7 @@
         check_quorum(now);
     }
     if (role_ == replica_role::leader) {
-        consider_membership(now);
+        update_membership(now);
         if (now >= heartbeat_due_) {
             broadcast(now, true);
         }
@@ -315,7 +317,7 @@
     assert(base_ && index >= base_->index && index <= delivered_);
     const auto term = term_at(index);
     assert(term);
-    // The configuration in force at `index`, not one appended after it.
+    // The snapshot holds the configuration in force at `index`, not a later one.
     group_config config = base_->config;
     for (const auto& it : log_) {
         if (it.index > index) {
--- a/modules/replog/src/replica_election.cpp
+++ b/modules/replog/src/replica_election.cpp
@@ -1,4 +1,5 @@
-/// Elections: pre-vote, stickiness to a live leader, and the leader's lease that rests on it.
+/// Elections with pre-vote, refusal of votes while a leader is heard, and the leader lease that
+/// depends on these refusals.
 
 #include "hickorypost/replog/replica.h"
 
@@ -9,28 +10,30 @@
 
 namespace {
 
-/// Spread of the first elections after a start: several round trips between hosts, so that two
-/// candidates seldom split the votes.
-constexpr millis early_vote_spread{200};
+/// Random part of the election timeout soon after a start: several round trips between hosts, so
+/// that two candidates rarely split the votes.
+constexpr millis fast_election_spread{200};
 
 } // namespace
 
 void replica::reset_election_timer(instant now)
 {
-    // Just after a start the first queries are lost, as the links are not up yet. Waiting out a
-    // whole timeout then held all callers for 0.9 s after each loss of all hosts. Pre-vote keeps
-    // the quick ones from disturbing a leader that the others hear.
-    const bool early = !heard_any_leader_ && now < early_until_;
+    // Just after a start the first vote requests are lost, because the links are not up yet. With
+    // a full election timeout before the next attempt, all callers waited 0.9 s after each restart
+    // of all hosts. Pre-vote keeps the frequent attempts from disturbing a live leader.
+    const bool early = !heard_any_leader_ && now < fast_elections_until_;
     const millis least = early ? options_.heartbeat : options_.election_min;
-    const millis spread = early ? early_vote_spread : options_.election_max - options_.election_min;
+    const millis spread =
+        early ? fast_election_spread : options_.election_max - options_.election_min;
     const double part = unit_random(random_) * static_cast<double>(spread.count());
     election_due_ = now + least + millis{static_cast<std::int64_t>(part)};
 }
 
 bool replica::heard_leader_recently(instant now) const
 {
-    // It begins with the start of the process: a replica that restarts has forgotten whom it
-    // heard, and a vote at once would elect a second leader inside the first one's lease.
+    // `last_heard_leader_` is initialized to the start time of the process: a restarted replica has
+    // no record of a leader that it heard, and an immediate vote could elect a second leader during
+    // the lease of the first.
     return now < last_heard_leader_ + options_.election_min;
 }
 
@@ -82,20 +85,20 @@
     if (pre_vote) {
         start_election(false, false, now);
     }
-    // A lone voter becomes leader once its own vote is on disk (see `persisted`).
+    // A single voter becomes leader once its own vote is on disk (see `persisted`).
 }
 
 void replica::handle_vote_query(const message& msg, instant now)
 {
     if (role_ == replica_role::fresh) {
-        return; // a fresh disk remembers no vote
+        return; // a fresh disk may have lost an earlier vote
     }
-    // The candidate may be a member of a configuration that has not reached this replica, so it is
-    // not asked whether it votes here: the longer log decides. A removed member cannot disturb a
-    // live leader, as votes are refused while one is heard.
+    // The candidate need not be a voter in this replica's configuration, which may lack a recent
+    // change; the log comparison decides. A removed member cannot disturb a live leader, because
+    // votes are refused while a leader is heard.
     const bool sticky = heard_leader_recently(now) || role_ == replica_role::leader;
     if (sticky && !msg.handover) {
-        // The leader counts on this refusal for its lease; answering with our term is harmless.
+        // The leader's lease depends on this refusal. The reply carries this replica's own term.
         auto reply = make(message_kind::vote_reply);
         reply.pre_vote = msg.pre_vote;
         send_now(msg.from.node, reply);
@@ -107,9 +110,9 @@
     const std::uint64_t own_term = term_at(last_index()).value_or(0);
     const bool up_to_date =
         msg.prev_term > own_term || (msg.prev_term == own_term && msg.prev_index >= last_index());
-    const bool term_good = msg.pre_vote ? msg.term > hard_.term : msg.term == hard_.term;
-    const bool free_vote = msg.pre_vote || !hard_.voted_for || hard_.voted_for == msg.from;
-    const bool granted = term_good && up_to_date && free_vote && is_voter(self_);
+    const bool term_valid = msg.pre_vote ? msg.term > hard_.term : msg.term == hard_.term;
+    const bool vote_available = msg.pre_vote || !hard_.voted_for || hard_.voted_for == msg.from;
+    const bool granted = term_valid && up_to_date && vote_available && is_voter(self_);
     auto reply = make(message_kind::vote_reply);
     reply.pre_vote = msg.pre_vote;
     reply.granted = granted;
@@ -134,10 +137,10 @@
         }
         return;
     }
-    const bool wanted = msg.pre_vote
-                            ? role_ == replica_role::pre_candidate && msg.term == hard_.term + 1
-                            : role_ == replica_role::candidate && msg.term == hard_.term;
-    if (!wanted || !is_voter(msg.from)) {
+    const bool expected = msg.pre_vote
+                              ? role_ == replica_role::pre_candidate && msg.term == hard_.term + 1
+                              : role_ == replica_role::candidate && msg.term == hard_.term;
+    if (!expected || !is_voter(msg.from)) {
         return;
     }
     votes_.insert(msg.from);
@@ -163,14 +166,14 @@
     broadcast(now, true);
 }
 
-std::optional<instant> replica::quorum_heard(instant own) const
+std::optional<instant> replica::quorum_contact_time(instant own) const
 {
     std::vector<instant> heard;
     for (const auto& it : config_.voters) {
         if (it == self_) {
             heard.push_back(own);
         } else if (const auto peer = peers_.find(it); peer != peers_.end()) {
-            heard.push_back(peer->second.lease_from);
+            heard.push_back(peer->second.acked_send_time);
         } else {
             heard.push_back(instant{});
         }
@@ -188,28 +191,28 @@
     if (role_ != replica_role::leader || lease_given_up_ || commit_ < term_start_index_) {
         return false;
     }
-    const auto heard = quorum_heard(now);
-    // Each of a quorum refuses votes for election_min after it heard this leader, by its own clock,
-    // which may run ahead of ours by the drift.
+    const auto heard = quorum_contact_time(now);
+    // Each member of the quorum refuses votes for election_min after it heard this leader. It
+    // measures this by its own clock, which may run faster than this one by up to clock_drift.
     const auto held = std::chrono::duration_cast<micros>(options_.election_min).count();
     const auto safe =
         static_cast<std::int64_t>(static_cast<double>(held) * (1.0 - options_.clock_drift));
     return heard && now < *heard + micros{safe};
 }
 
-void replica::ask_confirmation(instant now)
+void replica::request_confirmation(instant now)
 {
     if (role_ == replica_role::leader) {
         broadcast(now, true);
     }
 }
 
-bool replica::confirmed_since(instant since) const
+bool replica::leadership_confirmed_since(instant since) const
 {
     if (role_ != replica_role::leader || commit_ < term_start_index_) {
         return false;
     }
-    const auto heard = quorum_heard(instant::max());
+    const auto heard = quorum_contact_time(instant::max());
     return heard && *heard >= since;
 }
 
@@ -223,7 +226,8 @@
         alive += it == self_ || heard ? 1U : 0U;
     }
     if (alive < quorum()) {
-        // Cut off from the quorum: another leader may act by now, and waiting proposers must hear.
+        // Without a quorum another leader may have been elected: step down, so that pending
+        // proposals fail.
         become_follower(hard_.term, {}, now);
     }
 }
@@ -244,7 +248,8 @@
     }
     const node_id target = best->who.node;
     send_now(target, make(message_kind::campaign_now));
-    // The successor's election passes over stickiness, so this lease must never be used again.
+    // Voters grant the successor's election although they hear this leader, so this replica must
+    // step down and not use its lease again.
     become_follower(hard_.term, {}, now);
     last_heard_leader_ = now - options_.election_min;
 }
--- a/modules/replog/src/replica_membership.cpp
+++ b/modules/replog/src/replica_membership.cpp
@@ -1,4 +1,4 @@
-/// Founding of a group, and replacement of members one change at a time.
+/// Founding of a group, and membership changes, one at a time.
 
 #include "hickorypost/replog/replica.h"
 #include "hickorypost/wire/codec.h"
@@ -19,8 +19,8 @@
     if (!msg.granted) {
         return;
     }
-    // The asker's disk is fresh. If the founding configuration names this very disk, the founder's
-    // offer was lost: repeat it. Any other fresh disk has to come in as a learner.
+    // The sender's disk is fresh. If the initial configuration lists this disk, the founder's offer
+    // was lost: repeat it. Any other fresh disk must join as a learner.
     if (base_ && base_->index == 0 && is_voter(msg.from) && base_->config == config_) {
         auto offer = make(message_kind::found);
         offer.config = base_->config;
@@ -29,7 +29,7 @@
     }
     fresh_disks_[msg.from.node] = msg.from;
     if (role_ == replica_role::leader) {
-        consider_membership(now);
+        update_membership(now);
     }
 }
 
@@ -53,8 +53,9 @@
         founders_.front() != self_.node) {
         return;
     }
-    // Only when every founding host shows a fresh disk can no earlier group exist: a host that lost
-    // its disk would otherwise found a second group beside the one that still remembers.
+    // Found the group only if every founding host reports a fresh disk: then no earlier group can
+    // exist. Otherwise a host that has lost its disk would found a second group beside the existing
+    // group on the other hosts.
     group_config config;
     for (const auto& it : founders_) {
         if (it == self_.node) {
@@ -106,7 +107,7 @@
     }
 }
 
-bool replica::is_listed(const node_id& node) const
+bool replica::may_join(const node_id& node) const
 {
     return options_.admit_any_host || extra_contacts_.contains(node) ||
            std::find(founders_.begin(), founders_.end(), node) != founders_.end();
@@ -119,9 +120,9 @@
            now > peer->second.last_answer + options_.replace_silent_after;
 }
 
-void replica::consider_membership(instant now)
+void replica::update_membership(instant now)
 {
-    // One change at a time: two overlapping changes could form quorums that do not meet.
+    // One change at a time: two concurrent changes could form quorums that do not overlap.
     if (config_index_ > commit_ || commit_ < term_start_index_) {
         return;
     }
@@ -134,7 +135,7 @@
 {
     for (const auto& seen : fresh_disks_) {
         const member& disk = seen.second;
-        if (is_voter(disk) || is_learner(disk) || !is_listed(disk.node)) {
+        if (is_voter(disk) || is_learner(disk) || !may_join(disk.node)) {
             continue;
         }
         group_config next = config_;
@@ -157,21 +158,23 @@
             continue;
         }
         group_config next = config_;
-        // First the dead disk goes, then the new one votes: in between the same hosts are needed
-        // as before, and no change replaces a voter in one step.
+        // Remove the lost disk first and add the new disk as a voter in a second change, so that
+        // no change replaces a voter in one step. In between, a quorum needs the same hosts as
+        // before.
         const auto lost = std::find_if(next.voters.begin(), next.voters.end(), [&](const auto& it) {
-            return it != self_ && (it.node == learner.node || !is_listed(it.node));
+            return it != self_ && (it.node == learner.node || !may_join(it.node));
         });
         const auto silent =
             std::find_if(next.voters.begin(), next.voters.end(),
                          [&](const auto& it) { return it != self_ && is_silent(it, now); });
         if (lost != next.voters.end()) {
             next.voters.erase(lost);
-        } else if (next.voters.size() < wanted_voters()) {
+        } else if (next.voters.size() < target_voters()) {
             std::erase(next.learners, learner);
             next.voters.push_back(learner);
         } else if (silent != next.voters.end()) {
-            // It may only be cut off. As a learner it gets the log when it is back.
+            // The silent voter may only be disconnected; as a learner it gets the log when it
+            // returns.
             next.learners.push_back(*silent);
             next.voters.erase(silent);
         } else {
--- a/modules/replog/src/replica_replication.cpp
+++ b/modules/replog/src/replica_replication.cpp
@@ -1,4 +1,4 @@
-/// Log replication: appends with pipelining, catch-up by snapshot pieces, commit by quorum.
+/// Log replication: pipelined appends, catch-up by snapshots sent in pieces, commit by quorum.
 
 #include "hickorypost/replog/replica.h"
 #include "hickorypost/wire/codec.h"
@@ -38,7 +38,7 @@
     }
     for (auto& [who, peer] : peers_) {
         if (heartbeat && now > peer.last_answer + options_.election_min) {
-            // Nothing came back for long: what was sent is taken for lost.
+            // No reply for election_min: treat all messages in flight as lost.
             peer.inflight = 0;
             peer.probing = true;
             peer.next = std::max(peer.match + 1, std::min(peer.next, last_index() + 1));
@@ -108,7 +108,8 @@
     const auto own = term_at(msg.prev_index);
     const bool behind_start = msg.prev_index < log_start_index_;
     if (!behind_start && own != msg.prev_term) {
-        // Ask for the entries after what is surely shared: at most our end, and below the conflict.
+        // Ask for the entries after the last index that may match: at most the end of this log,
+        // below the conflicting entry, and at least the commit index.
         reply.match = std::min(last_index(), msg.prev_index - 1);
         reply.match = std::max(reply.match, commit_);
         send_now(msg.from.node, reply);
@@ -155,8 +156,8 @@
     }
     progress& peer = found->second;
     peer.last_answer = now;
-    peer.lease_from =
-        std::max(peer.lease_from, instant{micros{static_cast<std::int64_t>(msg.sent_us)}});
+    peer.acked_send_time =
+        std::max(peer.acked_send_time, instant{micros{static_cast<std::int64_t>(msg.sent_us)}});
     if (peer.inflight > 0) {
         --peer.inflight;
     }
@@ -203,8 +204,8 @@
     }
     const auto nth = matches.begin() + static_cast<std::ptrdiff_t>(quorum() - 1);
     std::nth_element(matches.begin(), nth, matches.end(), std::greater<>{});
-    // An entry of an earlier term may be on a quorum and still be replaced; it commits only
-    // together with one of this term.
+    // An entry of an earlier term can be overwritten even if it is on a quorum. It is committed
+    // only together with an entry of the current term.
     if (*nth <= commit_ || term_at(*nth) != hard_.term) {
         return;
     }
@@ -217,9 +218,9 @@
 
 void replica::continue_snapshot(progress& peer, instant now)
 {
-    // The next piece goes out on the answer to the last. A piece or its answer may be lost while
-    // heartbeats go on being answered: without a time limit of its own the transfer would stand
-    // still for ever, and the host would never become a voter again.
+    // Each piece is sent on the reply to the previous piece. A piece or its reply may be lost while
+    // heartbeats are still replied to; without a retry after election_min the transfer would stall
+    // forever, and the host would never become a voter again.
     if (!peer.snapshot_offset || now > peer.snapshot_sent + options_.election_min) {
         send_snapshot_piece(peer, now);
     }
@@ -317,8 +318,8 @@
     }
     progress& peer = found->second;
     peer.last_answer = now;
-    peer.lease_from =
-        std::max(peer.lease_from, instant{micros{static_cast<std::int64_t>(msg.sent_us)}});
+    peer.acked_send_time =
+        std::max(peer.acked_send_time, instant{micros{static_cast<std::int64_t>(msg.sent_us)}});
     if (msg.snapshot_index == peer.snapshot_index && peer.snapshot_offset) {
         peer.snapshot_offset = msg.offset;
         send_snapshot_piece(peer, now);
--- a/modules/replog/src/replica_store.cpp
+++ b/modules/replog/src/replica_store.cpp
@@ -17,7 +17,7 @@
     std::string body; ///< encoded `snapshot`
 };
 
-/// One journal record: whatever a batch changed.
+/// One journal record: the changes of one batch.
 struct journal_item {
     std::optional<hard_state> hard;
     bool reset_log = false;
@@ -67,7 +67,7 @@
     BOOST_LEAF_AUTO(bytes, fs_->read_file(name));
     const auto file = wire::try_decode<identity_file>(bytes);
     if (!file) {
-        return damaged(name, "not an identity");
+        return damaged(name, "identity file cannot be decoded");
     }
     recovered_.self.disk = file->disk;
     return {};
@@ -83,11 +83,11 @@
     BOOST_LEAF_AUTO(bytes, fs_->read_file(name));
     const auto file = wire::try_decode<snapshot_file>(bytes);
     if (!file || hash_bytes(file->body) != file->checksum) {
-        return damaged(name, "checksum does not match");
+        return damaged(name, "snapshot checksum does not match");
     }
     recovered_.base = wire::try_decode<snapshot>(file->body);
     if (!recovered_.base) {
-        return damaged(name, "not a snapshot");
+        return damaged(name, "snapshot cannot be decoded");
     }
     return {};
 }
@@ -111,7 +111,9 @@
 {
     auto item = wire::try_decode<journal_item>(payload);
     if (!item) {
-        return; // the checksum held, so this is a record kind of a later release without entries
+        // The journal has verified the checksum, so this is a kind of record without entries that a
+        // later release wrote.
+        return;
     }
     if (item->hard) {
         hard_ = *item->hard;
