--- a/modules/replog/include/hickorypost/replog/group.h
+++ b/modules/replog/include/hickorypost/replog/group.h
@@ -11,10 +11,11 @@
 
 enum class group_status : std::uint8_t { done, not_leader, unavailable };
 
+/// Outcome of a proposal or a read.
 struct group_answer {
     group_status status = group_status::done;
-    node_id leader;
-    std::string result;
+    node_id leader;     ///< leader known to this replica; may be empty
+    std::string result; ///< result of the state machine if `status` is `done`
 };
 
 /// Callbacks through which a group sends messages, persists data and reports applied commands.
--- a/modules/replog/include/hickorypost/replog/replica.h
+++ b/modules/replog/include/hickorypost/replog/replica.h
@@ -39,7 +39,7 @@
     /// Appends a command if this replica leads. Returns its index, or nothing on any other replica.
     std::optional<std::uint64_t> propose(std::string command, std::int64_t wall_ms, instant now);
     /// Stores `state`, the state machine's state after `index`, as the new snapshot and drops log
-    /// entries that are older than `replica_options::retained_entries` before it.
+    /// entries except the last `replica_options::retained_entries` before it.
     void compact(std::uint64_t index, std::string state);
     /// Transfers leadership to the voter with the longest replicated log, if this replica leads.
     void hand_over(instant now);
--- a/modules/replog/include/hickorypost/replog/types.h
+++ b/modules/replog/include/hickorypost/replog/types.h
@@ -112,7 +112,7 @@
 };
 
 enum class replica_role : std::uint8_t {
-    fresh,
+    fresh, ///< the disk belongs to no group yet
     learner,
     follower,
     pre_candidate,
@@ -126,6 +126,7 @@
     millis election_max{800};
     /// Upper bound on the relative difference in rate between the monotonic clocks of two hosts.
     double clock_drift = 0.01;
+    /// An append message takes no further entry once its entries reach this size.
     std::size_t max_append_bytes = std::size_t{1} << 20U;
     std::size_t snapshot_piece_bytes = std::size_t{256} << 10U;
     /// Entries kept before the last snapshot, so that a follower that was down for a short time
--- a/modules/replog/tests/replica_test.cpp
+++ b/modules/replog/tests/replica_test.cpp
@@ -10,9 +10,9 @@
 using namespace hickorypost;
 using testing::sim_cluster;
 
-constexpr millis patience{20'000};
+constexpr millis wait_limit{20'000};
 
-void expect_sound(sim_cluster& cluster)
+void expect_no_violations(sim_cluster& cluster)
 {
     for (const auto& it : cluster.violations()) {
         BOOST_ERROR(it);
@@ -21,10 +21,10 @@
 
 bool elect(sim_cluster& cluster)
 {
-    return cluster.run_until([&] { return cluster.leader().has_value(); }, patience);
+    return cluster.run_until([&] { return cluster.leader().has_value(); }, wait_limit);
 }
 
-/// Proposes until `n` more commands are acknowledged.
+/// Proposes commands until `n` more are acknowledged.
 bool commit(sim_cluster& cluster, std::size_t n, const std::string& prefix)
 {
     const std::size_t wanted = cluster.acknowledged().size() + n;
@@ -36,7 +36,7 @@
             }
             return cluster.acknowledged().size() >= wanted;
         },
-        patience);
+        wait_limit);
 }
 
 void heal_all(sim_cluster& cluster)
@@ -52,18 +52,19 @@
 
 BOOST_AUTO_TEST_SUITE(replica)
 
-BOOST_AUTO_TEST_CASE(three_fresh_hosts_found_one_group)
+BOOST_AUTO_TEST_CASE(three_fresh_hosts_form_one_group)
 {
     sim_cluster cluster{3, 1};
     BOOST_TEST(elect(cluster));
     BOOST_TEST(commit(cluster, 5, "a"));
-    cluster.check_nothing_lost();
-    expect_sound(cluster);
+    cluster.check_acknowledged_commands();
+    expect_no_violations(cluster);
 }
 
-// The founder's disk is lost while the others are down for a moment. If it founded again, a second
-// group would forget everything; it has to wait and come back as a learner.
-BOOST_AUTO_TEST_CASE(a_wiped_founder_never_founds_a_second_group)
+// The first founder loses its disk and restarts while the other hosts are down. If it founded the
+// group again, a second group without the acknowledged commands would exist. It must wait and
+// rejoin as a learner.
+BOOST_AUTO_TEST_CASE(wiped_founder_founds_no_second_group)
 {
     sim_cluster cluster{3, 2};
     BOOST_REQUIRE(elect(cluster));
@@ -77,18 +78,18 @@
     BOOST_TEST(!cluster.leader().has_value());
     cluster.restart(1);
     cluster.restart(2);
-    BOOST_TEST(cluster.run_until([&] { return cluster.all_voters_whole(); }, patience));
-    cluster.check_nothing_lost();
-    expect_sound(cluster);
+    BOOST_TEST(cluster.run_until([&] { return cluster.all_voters_caught_up(); }, wait_limit));
+    cluster.check_acknowledged_commands();
+    expect_no_violations(cluster);
 }
 
-// A host loses its disk, is repaired, and right after that a second host is lost for good. All
-// that was acknowledged must still be served by the two that are left.
-BOOST_DATA_TEST_CASE(a_second_loss_right_after_a_repair_loses_nothing,
+// A host loses its disk and is repaired; immediately afterwards a second host is lost permanently.
+// The two remaining hosts must still serve every acknowledged command.
+BOOST_DATA_TEST_CASE(second_host_loss_after_a_repair_loses_no_command,
                      data::xrange(3) * data::xrange(3) * data::xrange(4), first, second, seed)
 {
     if (first == second) {
-        BOOST_TEST(true); // the same host again is the case of one loss
+        BOOST_TEST(true); // the same host twice is a single loss
         return;
     }
     sim_cluster cluster{3, static_cast<std::uint64_t>(seed) + 10};
@@ -97,101 +98,105 @@
     cluster.lose_disk(static_cast<std::size_t>(first));
     BOOST_REQUIRE(commit(cluster, 5, "b"));
     cluster.restart(static_cast<std::size_t>(first));
-    BOOST_REQUIRE(cluster.run_until([&] { return cluster.all_voters_whole(); }, patience));
+    BOOST_REQUIRE(cluster.run_until([&] { return cluster.all_voters_caught_up(); }, wait_limit));
     cluster.lose_disk(static_cast<std::size_t>(second));
     BOOST_TEST(elect(cluster));
     BOOST_TEST(commit(cluster, 5, "c"));
-    cluster.check_nothing_lost();
-    expect_sound(cluster);
+    cluster.check_acknowledged_commands();
+    expect_no_violations(cluster);
 }
 
-// A repaired host has just heard that it votes again when the leader goes down for good. The third
-// host has not heard of that change. The repaired one has the longer log, so it has to be elected
-// by the third, in whose configuration it does not vote yet; else the two would wait for ever.
-BOOST_DATA_TEST_CASE(a_vote_is_given_to_a_member_not_heard_of_yet, data::xrange(20), seed)
+// The leader goes down permanently right after a repaired host has become a voter again. The third
+// host has not received this configuration change. The repaired host has the longer log, so
+// the third host must vote for it although its own configuration does not list it as a voter;
+// otherwise no leader can be elected.
+BOOST_DATA_TEST_CASE(votes_for_a_candidate_missing_from_the_local_configuration, data::xrange(20),
+                     seed)
 {
     sim_cluster cluster{3, static_cast<std::uint64_t>(seed) + 200};
     BOOST_REQUIRE(elect(cluster));
     BOOST_REQUIRE(commit(cluster, 5, "a"));
-    const std::size_t lead = *cluster.leader();
-    const std::size_t repaired = (lead + 1) % 3;
-    const std::size_t third = (lead + 2) % 3;
+    const std::size_t leader_host = *cluster.leader();
+    const std::size_t repaired = (leader_host + 1) % 3;
+    const std::size_t third = (leader_host + 2) % 3;
     cluster.lose_disk(repaired);
     cluster.restart(repaired);
-    // Cut the third host off as soon as the removal of the lost disk has committed.
-    const instant end = cluster.now() + patience;
-    const auto& core = cluster.core(lead);
+    // Cut off the third host as soon as the removal of the lost disk has been committed.
+    const instant end = cluster.now() + wait_limit;
+    const auto& core = cluster.core(leader_host);
     while (cluster.now() < end &&
            (core.config().voters.size() != 2 || core.commit_index() < core.last_index())) {
         cluster.run_for(millis{1});
     }
-    cluster.cut(lead, third, true);
+    cluster.cut(leader_host, third, true);
     BOOST_REQUIRE(cluster.run_until(
-        [&] { return cluster.core(repaired).role() == replog::replica_role::follower; }, patience));
-    cluster.crash(lead);
+        [&] { return cluster.core(repaired).role() == replog::replica_role::follower; },
+        wait_limit));
+    cluster.crash(leader_host);
     BOOST_TEST(elect(cluster));
     BOOST_TEST(commit(cluster, 3, "b"));
-    cluster.check_nothing_lost();
-    expect_sound(cluster);
+    cluster.check_acknowledged_commands();
+    expect_no_violations(cluster);
 }
 
-// The leader is cut off silently and does not know. It must stop leading before another can act,
-// and what it accepted without a quorum must not be acknowledged.
-BOOST_DATA_TEST_CASE(a_cut_off_leader_stops_before_another_acts, data::xrange(8), seed)
+// The leader is disconnected and gets no error. Its lease must end before another leader acts, and
+// a command that it accepted without a quorum must not be acknowledged.
+BOOST_DATA_TEST_CASE(cut_off_leader_stops_before_another_acts, data::xrange(8), seed)
 {
     sim_cluster cluster{3, static_cast<std::uint64_t>(seed) + 40};
     BOOST_REQUIRE(elect(cluster));
     BOOST_REQUIRE(commit(cluster, 3, "a"));
-    const std::size_t old = *cluster.leader();
-    cluster.isolate(old, true);
+    const std::size_t old_leader = *cluster.leader();
+    cluster.isolate(old_leader, true);
     cluster.propose("lost");
     BOOST_TEST(cluster.run_until(
-        [&] { return cluster.leader().has_value() && *cluster.leader() != old; }, patience));
+        [&] { return cluster.leader().has_value() && *cluster.leader() != old_leader; },
+        wait_limit));
     BOOST_TEST(commit(cluster, 3, "b"));
-    cluster.isolate(old, false);
-    BOOST_TEST(cluster.run_until([&] { return cluster.all_voters_whole(); }, patience));
-    cluster.check_nothing_lost();
-    expect_sound(cluster);
+    cluster.isolate(old_leader, false);
+    BOOST_TEST(cluster.run_until([&] { return cluster.all_voters_caught_up(); }, wait_limit));
+    cluster.check_acknowledged_commands();
+    expect_no_violations(cluster);
 }
 
-// The leader process is stopped (SIGSTOP, a long pause of its machine) past its lease and goes on
-// as if nothing had happened, with its clock jumped ahead.
-BOOST_DATA_TEST_CASE(a_frozen_leader_wakes_without_its_lease, data::xrange(8), seed)
+// The leader process is paused beyond its lease (SIGSTOP or a paused machine) and then resumes with
+// its clock ahead. It must not act under the expired lease.
+BOOST_DATA_TEST_CASE(paused_leader_resumes_without_its_lease, data::xrange(8), seed)
 {
     sim_cluster cluster{3, static_cast<std::uint64_t>(seed) + 60};
     BOOST_REQUIRE(elect(cluster));
     BOOST_REQUIRE(commit(cluster, 3, "a"));
     cluster.freeze(*cluster.leader(), millis{1500});
-    BOOST_TEST(cluster.run_until([&] { return cluster.leader().has_value(); }, patience));
+    BOOST_TEST(cluster.run_until([&] { return cluster.leader().has_value(); }, wait_limit));
     BOOST_TEST(commit(cluster, 3, "b"));
     cluster.run_for(millis{3000});
-    BOOST_TEST(cluster.run_until([&] { return cluster.all_voters_whole(); }, patience));
-    cluster.check_nothing_lost();
-    expect_sound(cluster);
+    BOOST_TEST(cluster.run_until([&] { return cluster.all_voters_caught_up(); }, wait_limit));
+    cluster.check_acknowledged_commands();
+    expect_no_violations(cluster);
 }
 
-// Leader and one follower cannot hear each other, the third host hears both and is restarted again
-// and again. The cut-off follower asks it for votes. Were they given within the leader's lease,
-// two hosts would answer reads at once.
-BOOST_DATA_TEST_CASE(a_partial_cut_elects_no_second_lease, data::xrange(12) * data::xrange(2), seed,
-                     restarts)
+// The leader and one follower cannot reach each other; the third host reaches both and, in half of
+// the cases, restarts repeatedly. The disconnected follower requests votes from it. If the third
+// host granted a vote during the leader's lease, two hosts would answer reads at the same time.
+BOOST_DATA_TEST_CASE(partial_partition_grants_no_second_lease, data::xrange(12) * data::xrange(2),
+                     seed, restarts)
 {
     sim_cluster cluster{3, static_cast<std::uint64_t>(seed) + 90};
     BOOST_REQUIRE(elect(cluster));
     BOOST_REQUIRE(commit(cluster, 3, "a"));
-    const std::size_t lead = *cluster.leader();
-    const std::size_t cut_off = (lead + 1) % 3;
-    const std::size_t between = (lead + 2) % 3;
-    cluster.cut(lead, cut_off, true);
-    cluster.cut(cut_off, lead, true);
+    const std::size_t leader_host = *cluster.leader();
+    const std::size_t cut_off = (leader_host + 1) % 3;
+    const std::size_t third = (leader_host + 2) % 3;
+    cluster.cut(leader_host, cut_off, true);
+    cluster.cut(cut_off, leader_host, true);
     for (int n = 0; n < 40; ++n) {
         if (restarts == 1) {
-            cluster.crash(between);
-            cluster.restart(between);
+            cluster.crash(third);
+            cluster.restart(third);
         }
         cluster.run_for(millis{60 + seed});
     }
-    expect_sound(cluster);
+    expect_no_violations(cluster);
 }
 
 BOOST_AUTO_TEST_CASE(leadership_is_handed_over_without_an_election_timeout)
@@ -199,18 +204,19 @@
     sim_cluster cluster{3, 5};
     BOOST_REQUIRE(elect(cluster));
     BOOST_REQUIRE(commit(cluster, 3, "a"));
-    const std::size_t old = *cluster.leader();
-    cluster.hand_over(old);
+    const std::size_t old_leader = *cluster.leader();
+    cluster.hand_over(old_leader);
     BOOST_TEST(cluster.run_until(
-        [&] { return cluster.leader().has_value() && *cluster.leader() != old; }, millis{150}));
-    expect_sound(cluster);
+        [&] { return cluster.leader().has_value() && *cluster.leader() != old_leader; },
+        millis{150}));
+    expect_no_violations(cluster);
 }
 
 namespace {
 
-/// Faults of every kind in any order, over a lossy, reordering and duplicating network with slow
-/// disks. Disks are lost only while all voters are whole, as two lost disks of three cannot be
-/// survived by any group of three.
+/// Injects random faults of all kinds over a network that loses, reorders and duplicates messages,
+/// with slow disks. A disk is lost only while all voters are caught up, because no group of three
+/// survives the loss of two disks.
 void run_random_faults(sim_cluster& cluster, std::uint64_t seed, int rounds)
 {
     const auto random = seeded_random_fn(seed);
@@ -233,7 +239,7 @@
             cluster.cut(host, (host + 1) % hosts, true);
             break;
         case 4:
-            if (cluster.all_voters_whole()) {
+            if (cluster.all_voters_caught_up()) {
                 cluster.lose_disk(host);
             }
             break;
@@ -262,39 +268,43 @@
 
 } // namespace
 
-BOOST_DATA_TEST_CASE(random_faults_break_no_promise, data::xrange(400), seed)
+BOOST_DATA_TEST_CASE(random_faults_violate_no_invariant, data::xrange(400), seed)
 {
     sim_cluster cluster{seed % 4 == 0 ? 5U : 3U, static_cast<std::uint64_t>(seed) + 1000};
     BOOST_REQUIRE(elect(cluster));
     run_random_faults(cluster, static_cast<std::uint64_t>(seed) + 5000, 60);
-    const bool whole = cluster.run_until([&] { return cluster.all_voters_whole(); }, patience);
-    BOOST_TEST(whole);
-    if (!whole) {
+    const bool caught_up =
+        cluster.run_until([&] { return cluster.all_voters_caught_up(); }, wait_limit);
+    BOOST_TEST(caught_up);
+    if (!caught_up) {
         BOOST_TEST_MESSAGE(cluster.describe());
     }
-    cluster.check_nothing_lost();
-    expect_sound(cluster);
+    cluster.check_acknowledged_commands();
+    expect_no_violations(cluster);
 }
 
-// Four disks, three votes, replicas that vote at once after a start. Whatever fails, nothing that
-// was acknowledged is lost, and no read is older than what was acknowledged before it began.
+// Four hosts, three voters, and replicas that vote immediately after a start. Under random faults
+// no acknowledged command is lost, and each confirmed read returns every command that was
+// acknowledged before the read began.
 BOOST_DATA_TEST_CASE(spare_hosts_and_early_votes_break_no_promise, data::xrange(200), seed)
 {
     sim_cluster cluster{{.hosts = 4, .founders = 3, .vote_at_start = true, .replace_silent = true},
                         static_cast<std::uint64_t>(seed) + 1000};
     BOOST_REQUIRE(elect(cluster));
     run_random_faults(cluster, static_cast<std::uint64_t>(seed) + 9000, 60);
-    const bool whole = cluster.run_until([&] { return cluster.all_voters_whole(); }, patience);
-    BOOST_TEST(whole);
-    if (!whole) {
+    const bool caught_up =
+        cluster.run_until([&] { return cluster.all_voters_caught_up(); }, wait_limit);
+    BOOST_TEST(caught_up);
+    if (!caught_up) {
         BOOST_TEST_MESSAGE(cluster.describe());
     }
-    cluster.check_nothing_lost();
+    cluster.check_acknowledged_commands();
     BOOST_TEST(cluster.reads_answered() > 0U);
-    expect_sound(cluster);
+    expect_no_violations(cluster);
 }
 
-// A voter goes down for good. The spare disk takes its place; then a second voter may go too.
+// A voter goes down permanently and the spare host replaces it. The group must then survive the
+// loss of a second voter.
 BOOST_DATA_TEST_CASE(a_spare_host_takes_a_silent_voters_place, data::xrange(10), seed)
 {
     sim_cluster cluster{{.hosts = 4, .founders = 3, .vote_at_start = true, .replace_silent = true},
@@ -303,16 +313,16 @@
     BOOST_REQUIRE(commit(cluster, 12, "a"));
     cluster.run_for(millis{1000});
     cluster.crash(1);
-    BOOST_TEST(cluster.run_until([&] { return cluster.all_voters_whole(); }, millis{4000}));
+    BOOST_TEST(cluster.run_until([&] { return cluster.all_voters_caught_up(); }, millis{4000}));
     cluster.crash(2);
     BOOST_TEST(elect(cluster));
     BOOST_TEST(commit(cluster, 5, "b"));
-    cluster.check_nothing_lost();
-    expect_sound(cluster);
+    cluster.check_acknowledged_commands();
+    expect_no_violations(cluster);
 }
 
-// All hosts lose power and come back. Nobody can hold a lease, so a leader is there within a few
-// heartbeats rather than after an election timeout.
+// All hosts lose power and restart. No lease can be in force, so a leader must be elected within a
+// few heartbeats instead of a full election timeout.
 BOOST_DATA_TEST_CASE(early_votes_elect_soon_after_power_comes_back, data::xrange(10), seed)
 {
     sim_cluster cluster{{.hosts = 3, .vote_at_start = true}, static_cast<std::uint64_t>(seed) + 60};
@@ -325,13 +335,13 @@
         cluster.restart(n);
     }
     BOOST_TEST(cluster.run_until([&] { return cluster.leader().has_value(); }, millis{450}));
-    cluster.check_nothing_lost();
-    expect_sound(cluster);
+    cluster.check_acknowledged_commands();
+    expect_no_violations(cluster);
 }
 
-// All hosts are killed and come back at once. Links are not up yet when the first of them asks for
-// votes; callers are held until there is a leader, so it asks again soon, not after a whole
-// election timeout.
+// All hosts are killed and restart at the same time. The first vote requests are lost because the
+// links are not up yet. Callers wait until there is a leader, so a candidate must retry soon and
+// not only after a full election timeout.
 BOOST_DATA_TEST_CASE(early_votes_are_asked_again_while_links_come_up, data::xrange(10), seed)
 {
     constexpr std::size_t hosts = 5;
@@ -355,31 +365,33 @@
         cluster.isolate(n, false);
     }
     BOOST_TEST(cluster.run_until([&] { return cluster.leader().has_value(); }, millis{200}));
-    cluster.check_nothing_lost();
-    expect_sound(cluster);
+    cluster.check_acknowledged_commands();
+    expect_no_violations(cluster);
 }
 
-// The check of reads itself: a leader is cut off, a follower restarts and votes at once, and the
-// other leader acknowledges more. Answers under the old one's lease must be noticed as too old.
+// Tests the check of reads: the leader is cut off, the followers restart and vote immediately, and
+// a new leader acknowledges more commands. Reads answered under the old leader's lease are then
+// stale, and the check must report them.
 BOOST_AUTO_TEST_CASE(reads_without_a_quorums_word_are_noticed)
 {
     std::size_t found = 0;
     for (std::uint64_t seed = 0; seed < 200 && found == 0; ++seed) {
         sim_cluster cluster{{.hosts = 3, .vote_at_start = true}, seed + 1000};
-        cluster.trusting_reads = true;
+        cluster.lease_reads = true;
         BOOST_REQUIRE(elect(cluster));
         BOOST_REQUIRE(commit(cluster, 3, "a"));
-        const std::size_t old = *cluster.leader();
-        cluster.isolate(old, true);
+        const std::size_t old_leader = *cluster.leader();
+        cluster.isolate(old_leader, true);
         for (std::size_t n = 0; n < 3; ++n) {
-            if (n != old) {
+            if (n != old_leader) {
                 cluster.crash(n);
                 cluster.restart(n);
             }
         }
         for (int n = 0; n < 60; ++n) {
             for (std::size_t host = 0; host < 3; ++host) {
-                if (host != old && cluster.core(host).role() == replog::replica_role::leader) {
+                if (host != old_leader &&
+                    cluster.core(host).role() == replog::replica_role::leader) {
                     cluster.propose("b" + std::to_string(n));
                 }
             }
@@ -391,20 +403,20 @@
     BOOST_TEST(found > 0U);
 }
 
-// The checks themselves: with disks that lie about syncing, some schedule must be found in which an
-// acknowledged command is gone.
-BOOST_AUTO_TEST_CASE(lying_disks_are_noticed)
+// Tests the check for lost commands: if disks report syncs that they did not perform, at least one
+// schedule must lose an acknowledged command, and the check must report it.
+BOOST_AUTO_TEST_CASE(skipped_disk_syncs_are_detected)
 {
     std::size_t found = 0;
     for (std::uint64_t seed = 0; seed < 60 && found == 0; ++seed) {
         sim_cluster cluster{3, seed + 1000};
-        cluster.lying_disks = true;
+        cluster.skip_disk_syncs = true;
         if (!elect(cluster)) {
             continue;
         }
         run_random_faults(cluster, seed + 5000, 60);
-        cluster.run_until([&] { return cluster.all_voters_whole(); }, millis{5000});
-        cluster.check_nothing_lost();
+        cluster.run_until([&] { return cluster.all_voters_caught_up(); }, millis{5000});
+        cluster.check_acknowledged_commands();
         found += cluster.violations().size();
     }
     BOOST_TEST(found > 0U);
--- a/modules/replog/tests/sim_cluster.cpp
+++ b/modules/replog/tests/sim_cluster.cpp
@@ -19,7 +19,7 @@
     for (std::size_t n = 0; n < hosts; ++n) {
         names_.push_back("c" + std::to_string(n));
         hosts_[n].disk = std::make_unique<virtual_disk>(seed + n);
-        // Within the stated bound on clock drift.
+        // Clock rates stay within `replica_options::clock_drift`.
         hosts_[n].clock_rate = 1.0 + 0.004 * static_cast<double>(n);
     }
     for (std::size_t n = 0; n < hosts; ++n) {
@@ -33,7 +33,7 @@
     return instant{micros{static_cast<std::int64_t>(since * hosts_[host].clock_rate)}};
 }
 
-std::size_t sim_cluster::host_named(const node_id& node) const
+std::size_t sim_cluster::host_index(const node_id& node) const
 {
     return static_cast<std::size_t>(std::find(names_.begin(), names_.end(), node) - names_.begin());
 }
@@ -43,7 +43,8 @@
     events_.push({when, next_order_++, std::move(run)});
 }
 
-void sim_cluster::on_host(std::size_t host, instant when, std::function<void(replog::group&)> run)
+void sim_cluster::run_on_host(std::size_t host, instant when,
+                              std::function<void(replog::group&)> run)
 {
     at(when, [this, host, generation = hosts_[host].generation, run = std::move(run)] {
         sim_host& it = hosts_[host];
@@ -51,7 +52,8 @@
             return;
         }
         if (now_ < it.frozen_until) {
-            on_host(host, it.frozen_until, run); // a stopped process finds its messages later
+            run_on_host(host, it.frozen_until,
+                        run); // a paused process receives its messages once it resumes
             return;
         }
         run(*it.group);
@@ -88,25 +90,26 @@
     auto core = std::make_unique<replog::replica>(it.store->take_recovered(), founders, options,
                                                   random_, clock_of(host));
     if (options_.replace_silent) {
-        // Spare hosts stand in no list of founders; all hosts learn of each other by other means.
+        // Spare hosts are not founders; each host is told about all others here.
         std::for_each(names_.begin(), names_.end(),
                       [&](const auto& name) { core->add_contact(name); });
     }
     replog::group_hooks hooks;
     hooks.send = [this, host](const node_id& to, const replog::message& msg) {
-        deliver(host, host_named(to), msg);
+        deliver(host, host_index(to), msg);
     };
     hooks.persist = [this, host](const replog::persist_batch& batch) {
         const std::uint64_t ticket = batch.ticket;
-        const auto took =
+        const auto delay =
             static_cast<std::int64_t>(random_() % static_cast<std::uint64_t>(faults.max_sync_us));
-        // Written now, durable when the sync ends: a crash in between may lose it.
+        // The batch is written now but durable only when the sync ends; a crash before that may
+        // lose it.
         leaf::try_handle_all([&]() -> result<void> { return hosts_[host].store->append(batch); },
-                             [&] { violations_.emplace_back("append failed"); });
-        on_host(host, now_ + micros{took}, [this, host, ticket](replog::group& group) {
-            if (!lying_disks) {
+                             [&] { violations_.emplace_back("append to the log failed"); });
+        run_on_host(host, now_ + micros{delay}, [this, host, ticket](replog::group& group) {
+            if (!skip_disk_syncs) {
                 leaf::try_handle_all([&]() -> result<void> { return hosts_[host].store->sync(); },
-                                     [&] { violations_.emplace_back("sync failed"); });
+                                     [&] { violations_.emplace_back("sync of the log failed"); });
             }
             group.persisted(ticket, clock_of(host));
         });
@@ -120,7 +123,7 @@
 
 void sim_cluster::schedule_tick(std::size_t host)
 {
-    on_host(host, now_ + tick_every, [this, host](replog::group& group) {
+    run_on_host(host, now_ + tick_every, [this, host](replog::group& group) {
         group.tick(clock_of(host));
         schedule_tick(host);
     });
@@ -133,13 +136,13 @@
     }
     const int copies = unit_random(random_) < faults.duplicate ? 2 : 1;
     for (int n = 0; n < copies; ++n) {
-        const auto took =
+        const auto delay =
             static_cast<std::int64_t>(random_() % static_cast<std::uint64_t>(faults.max_delay_us));
-        // Decoded from bytes on arrival, as on the wire.
-        on_host(to, now_ + micros{took},
-                [this, to, bytes = wire::encode(msg)](replog::group& group) {
-                    group.receive(wire::try_decode<replog::message>(bytes).value(), clock_of(to));
-                });
+        // Encoded here and decoded on arrival, as on a real link.
+        run_on_host(
+            to, now_ + micros{delay}, [this, to, bytes = wire::encode(msg)](replog::group& group) {
+                group.receive(wire::try_decode<replog::message>(bytes).value(), clock_of(to));
+            });
     }
 }
 
@@ -240,28 +243,30 @@
     return false;
 }
 
-void sim_cluster::take_read(std::size_t known, const replog::group_answer& answer)
+void sim_cluster::check_read(std::size_t acknowledged_before, const replog::group_answer& answer)
 {
     if (answer.status != replog::group_status::done) {
         return;
     }
     ++reads_answered_;
-    if (std::stoul(answer.result) < known) {
+    if (std::stoul(answer.result) < acknowledged_before) {
         violations_.push_back("read of " + answer.result + " commands after " +
-                              std::to_string(known) + " were acknowledged");
+                              std::to_string(acknowledged_before) + " were acknowledged");
     }
 }
 
 void sim_cluster::read_everywhere()
 {
-    const std::size_t known = acknowledged_.size();
+    const std::size_t acknowledged_before = acknowledged_.size();
     for (std::size_t n = 0; n < hosts_.size(); ++n) {
         auto& group = hosts_[n].group;
         if (!group || now_ < hosts_[n].frozen_until) {
             continue;
         }
-        const auto done = [this, known](const replog::group_answer& it) { take_read(known, it); };
-        if (trusting_reads) {
+        const auto done = [this, acknowledged_before](const replog::group_answer& it) {
+            check_read(acknowledged_before, it);
+        };
+        if (lease_reads) {
             group->read({}, clock_of(n), done);
         } else {
             group->read_confirmed({}, clock_of(n), done);
@@ -269,20 +274,20 @@
     }
 }
 
-bool sim_cluster::all_voters_whole() const
+bool sim_cluster::all_voters_caught_up() const
 {
-    const auto lead = leader();
-    if (!lead) {
+    const auto leader_host = leader();
+    if (!leader_host) {
         return false;
     }
-    const auto& config = core(*lead).config();
+    const auto& config = core(*leader_host).config();
     if (config.voters.size() != options_.founders) {
         return false;
     }
     return std::all_of(config.voters.begin(), config.voters.end(), [&](const auto& voter) {
-        const auto& it = hosts_[host_named(voter.node)];
+        const auto& it = hosts_[host_index(voter.node)];
         return it.group && it.group->core().self() == voter &&
-               it.group->applied_index() >= core(*lead).commit_index();
+               it.group->applied_index() >= core(*leader_host).commit_index();
     });
 }
 
@@ -302,16 +307,17 @@
         }
         leases += group->leads(clock_of(n)) ? 1U : 0U;
         const auto& here = commands(n);
-        const std::size_t shared = std::min(here.size(), longest_.size());
+        const std::size_t shared = std::min(here.size(), longest_history_.size());
         if (!std::equal(here.begin(), here.begin() + static_cast<std::ptrdiff_t>(shared),
-                        longest_.begin())) {
+                        longest_history_.begin())) {
             violations_.push_back("states differ at " + names_[n]);
         }
-        if (here.size() > longest_.size()) {
-            longest_ = here;
+        if (here.size() > longest_history_.size()) {
+            longest_history_ = here;
         }
     }
-    // Replicas that vote at once after a start don't keep leases; reads are confirmed there.
+    // Replicas that vote immediately after a start may elect a leader during another's lease;
+    // their reads are confirmed by a quorum instead.
     if (leases > 1 && !options_.vote_at_start) {
         violations_.emplace_back("two replicas hold the leader's lease at once");
     }
@@ -342,18 +348,18 @@
     return out;
 }
 
-void sim_cluster::check_nothing_lost()
+void sim_cluster::check_acknowledged_commands()
 {
-    const auto lead = leader();
-    if (!lead) {
+    const auto leader_host = leader();
+    if (!leader_host) {
         violations_.emplace_back("no leader at the end");
         return;
     }
-    const auto& here = commands(*lead);
+    const auto& here = commands(*leader_host);
     for (const auto& it : acknowledged_) {
         const auto n = std::count(here.begin(), here.end(), it);
         if (n != 1) {
-            violations_.push_back("acknowledged " + it + " stands " + std::to_string(n) +
+            violations_.push_back("acknowledged command " + it + " occurs " + std::to_string(n) +
                                   " times in the state");
         }
     }
--- a/modules/replog/tests/sim_cluster.h
+++ b/modules/replog/tests/sim_cluster.h
@@ -10,25 +10,26 @@
 
 namespace hickorypost::testing {
 
-/// Faults of the network between the replicas.
+/// Faults of the network between the replicas, and the delays of network and disks.
 struct network_faults {
-    double loss = 0;
-    double duplicate = 0;
-    std::int64_t max_delay_us = 3000; ///< each message takes a random time up to this: they reorder
-    std::int64_t max_sync_us = 2000;  ///< a disk's sync takes a random time up to this
+    double loss = 0;      ///< probability that a message is lost
+    double duplicate = 0; ///< probability that a message is delivered twice
+    std::int64_t max_delay_us =
+        3000; ///< upper bound of a message's random delay, which reorders messages
+    std::int64_t max_sync_us = 2000; ///< upper bound of a disk sync's random duration
 };
 
-/// How the replicas of a cluster are set up.
+/// Configuration of a simulated cluster.
 struct cluster_options {
     std::size_t hosts = 3;
-    std::size_t founders = 0; ///< the first hosts; 0: all. The others are spare
+    std::size_t founders = 0; ///< number of founding hosts; 0 means all. The others are spare hosts
     bool vote_at_start = false;
     millis election_min{200};
     millis election_max{400};
-    bool replace_silent = false; ///< spare hosts take the places of silent voters
+    bool replace_silent = false; ///< spare hosts replace silent voters
 };
 
-/// A list of committed commands: the state machine of the tests.
+/// State machine of the tests: a list of the committed commands.
 class list_machine final : public replog::state_machine {
 public:
     std::string apply(const replog::entry& command) override
@@ -49,7 +50,7 @@
     std::vector<std::string> commands_;
 };
 
-/// A few replicas, their disks and the messages between them, in virtual time.
+/// Simulates replicas, their disks and the messages between them in virtual time.
 class sim_cluster {
 public:
     sim_cluster(std::size_t hosts, std::uint64_t seed)
@@ -59,12 +60,12 @@
     sim_cluster(cluster_options options, std::uint64_t seed);
 
     void run_for(millis time);
-    /// Runs until `done`, at most `limit`; false if it did not come to that.
+    /// Runs until `done` returns true, for at most `limit`. Returns false if the limit was reached.
     bool run_until(const std::function<bool()>& done, millis limit);
 
-    /// Broken on purpose, to show that the checks notice: syncs report success at once and do
-    /// nothing, as a disk with a lying write cache.
-    bool lying_disks = false;
+    /// Deliberate fault that the checks must detect: syncs report success and do nothing, like a
+    /// disk whose volatile write cache ignores flushes.
+    bool skip_disk_syncs = false;
 
     void crash(std::size_t host);
     void restart(std::size_t host);
@@ -75,14 +76,16 @@
     void hand_over(std::size_t host) { hosts_[host].group->hand_over(clock_of(host)); }
     network_faults faults;
 
-    /// Broken on purpose: reads are answered under the leader's lease, without a quorum's word.
-    bool trusting_reads = false;
-    /// Reads at every host that takes itself for the leader; an answer that lacks what was
-    /// acknowledged before the question is a violation.
+    /// Deliberate fault that the checks must detect: reads are answered under the leader's lease,
+    /// without confirmation by a quorum.
+    bool lease_reads = false;
+    /// Reads at every running host; only those that consider themselves leader answer. An answer
+    /// that lacks a command acknowledged before the read began is recorded as a violation.
     void read_everywhere();
     [[nodiscard]] std::size_t reads_answered() const { return reads_answered_; }
 
-    /// Proposes at whichever host leads by its own account; counts what was acknowledged.
+    /// Proposes at the first host that considers itself leader and records the command once it is
+    /// acknowledged. Returns false if no host considers itself leader.
     bool propose(const std::string& command);
     [[nodiscard]] std::optional<std::size_t> leader() const;
     [[nodiscard]] bool alive(std::size_t host) const { return hosts_[host].group != nullptr; }
@@ -97,22 +100,25 @@
     [[nodiscard]] const std::vector<std::string>& acknowledged() const { return acknowledged_; }
     [[nodiscard]] std::size_t size() const { return hosts_.size(); }
     [[nodiscard]] instant now() const { return now_; }
-    /// Voters that are whole: running, with the disk that the configuration names, and caught up.
-    [[nodiscard]] bool all_voters_whole() const;
+    /// True if there is a leader, the configuration has as many voters as there were founders, and
+    /// each voter runs on the disk that the configuration lists and has applied the leader's
+    /// committed entries.
+    [[nodiscard]] bool all_voters_caught_up() const;
 
-    /// Every host's role, configuration and log, for a failing test's output.
+    /// Describes every host's role, configuration and log, for the output of a failing test.
     [[nodiscard]] std::string describe() const;
-    /// What went against the promises of a replicated log; empty if nothing did.
+    /// Descriptions of all safety violations found so far.
     [[nodiscard]] const std::vector<std::string>& violations() const { return violations_; }
-    /// Checks that every acknowledged command is in the state of every listed host.
-    void check_nothing_lost();
+    /// Records a violation unless there is a leader whose state holds every acknowledged command
+    /// exactly once.
+    void check_acknowledged_commands();
 
 private:
     struct sim_host {
         std::unique_ptr<virtual_disk> disk;
         std::unique_ptr<replog::replica_store> store;
         std::unique_ptr<replog::group> group;
-        std::uint64_t generation = 0; ///< events of an earlier run of the process are dropped
+        std::uint64_t generation = 0; ///< events of an earlier process are discarded
         instant frozen_until;
         double clock_rate = 1.0;
     };
@@ -127,15 +133,15 @@
     };
 
     void at(instant when, std::function<void()> run);
-    void on_host(std::size_t host, instant when, std::function<void(replog::group&)> run);
+    void run_on_host(std::size_t host, instant when, std::function<void(replog::group&)> run);
     void start(std::size_t host);
     void schedule_tick(std::size_t host);
     void deliver(std::size_t from, std::size_t to, const replog::message& msg);
     void check_invariants();
     [[nodiscard]] instant clock_of(std::size_t host) const;
-    [[nodiscard]] std::size_t host_named(const node_id& node) const;
+    [[nodiscard]] std::size_t host_index(const node_id& node) const;
 
-    void take_read(std::size_t known, const replog::group_answer& answer);
+    void check_read(std::size_t acknowledged_before, const replog::group_answer& answer);
 
     cluster_options options_;
     std::size_t reads_answered_ = 0;
@@ -147,7 +153,7 @@
     std::priority_queue<event> events_;
     std::set<std::pair<std::size_t, std::size_t>> cuts_;
     std::vector<std::string> acknowledged_;
-    std::vector<std::string> longest_;
+    std::vector<std::string> longest_history_;
     std::map<std::uint64_t, node_id> leader_of_term_;
     std::vector<std::string> violations_;
 };
