--- a/modules/replog/include/hickorypost/replog/group.h
+++ b/modules/replog/include/hickorypost/replog/group.h
@@ -53,7 +53,7 @@
     void read(std::string_view query, instant now, const answer_fn& done);
     /// Linearizable read that does not depend on clocks: `done` is called once a quorum has
     /// confirmed, after this call began, that this replica is the leader. For hosts whose clocks
-    /// may stop, for example while a virtual machine is paused.
+    /// may stop.
     void read_confirmed(std::string_view query, instant now, answer_fn done);
     /// Transfers leadership to the voter with the longest replicated log, if this replica leads.
     void hand_over(instant now);
--- a/modules/replog/include/hickorypost/replog/replica.h
+++ b/modules/replog/include/hickorypost/replog/replica.h
@@ -70,7 +70,7 @@
     [[nodiscard]] bool lease_valid(instant now) const;
     [[nodiscard]] replica_role role() const noexcept { return role_; }
     [[nodiscard]] const node_id& leader() const noexcept { return leader_; }
-    [[nodiscard]] std::uint64_t term() const noexcept { return hard_.term; }
+    [[nodiscard]] std::uint64_t term() const noexcept { return hard_state_.term; }
     [[nodiscard]] std::uint64_t commit_index() const noexcept { return commit_; }
     [[nodiscard]] std::uint64_t last_index() const noexcept;
     [[nodiscard]] const group_config& config() const noexcept { return config_; }
@@ -103,7 +103,7 @@
     void append_entry(entry it);
     void truncate_from(std::uint64_t index);
     void trim_log();
-    void take_recovered_entries(std::vector<entry> entries);
+    void load_recovered_entries(std::vector<entry> entries);
     void install_base(snapshot base);
     void recompute_config();
 
@@ -125,7 +125,7 @@
     void handle_probe(const message& msg, instant now);
     void handle_probe_reply(const message& msg, instant now);
     void handle_found(const message& msg, instant now);
-    void try_found(instant now);
+    void try_found_group(instant now);
 
     // Elections.
     void become_follower(std::uint64_t term, const node_id& leader, instant now);
@@ -155,10 +155,10 @@
 
     // Effects.
     persist_batch& open_batch();
-    void save_hard();
+    void save_hard_state();
     void send_now(const node_id& to, message body);
     void send_after_persist(const node_id& to, message body);
-    [[nodiscard]] message make(message_kind kind) const;
+    [[nodiscard]] message make_message(message_kind kind) const;
 
     member self_;
     std::vector<node_id> founders_;
@@ -166,7 +166,7 @@
     replica_options options_;
     random_fn random_;
 
-    hard_state hard_;
+    hard_state hard_state_;
     std::optional<snapshot> base_;
     std::deque<entry> log_; ///< entries after `log_start_index_`
     std::uint64_t log_start_index_ = 0;
--- a/modules/replog/include/hickorypost/replog/replica_store.h
+++ b/modules/replog/include/hickorypost/replog/replica_store.h
@@ -35,7 +35,7 @@
     storage::file_system* fs_;
     std::string prefix_;
     recovered_state recovered_;
-    hard_state hard_; ///< last written; repeated at the start of each journal segment
+    hard_state hard_state_; ///< last written; repeated at the start of each journal segment
     std::optional<storage::journal> journal_;
 };
 
--- a/modules/replog/src/replica.cpp
+++ b/modules/replog/src/replica.cpp
@@ -19,8 +19,8 @@
 replica::replica(recovered_state recovered, std::vector<node_id> founders, replica_options options,
                  random_fn random, instant now)
     : self_{std::move(recovered.self)}, founders_{std::move(founders)}, options_{options},
-      random_{std::move(random)}, hard_{std::move(recovered.hard)}, base_{std::move(
-                                                                        recovered.base)},
+      random_{std::move(random)}, hard_state_{std::move(recovered.hard)}, base_{std::move(
+                                                                              recovered.base)},
       last_heard_leader_{now}, heartbeat_due_{now}, probe_due_{now}
 {
     if (base_) {
@@ -29,7 +29,7 @@
         commit_ = base_->index;
         delivered_ = base_->index;
         role_ = replica_role::follower;
-        take_recovered_entries(std::move(recovered.entries));
+        load_recovered_entries(std::move(recovered.entries));
         recompute_config();
         if (!base_->state.empty() || base_->index > 0) {
             effects_.install = base_;
@@ -43,7 +43,7 @@
     reset_election_timer(now);
 }
 
-void replica::take_recovered_entries(std::vector<entry> entries)
+void replica::load_recovered_entries(std::vector<entry> entries)
 {
     for (auto& it : entries) {
         if (it.index == log_start_index_ && it.term != log_start_term_) {
@@ -171,17 +171,17 @@
     return effects_.persist.back();
 }
 
-void replica::save_hard()
+void replica::save_hard_state()
 {
-    open_batch().hard = hard_;
+    open_batch().hard = hard_state_;
 }
 
-message replica::make(message_kind kind) const
+message replica::make_message(message_kind kind) const
 {
     message out;
     out.kind = kind;
     out.from = self_;
-    out.term = hard_.term;
+    out.term = hard_state_.term;
     return out;
 }
 
@@ -240,8 +240,8 @@
     if (now >= probe_due_) {
         probe_due_ = now + options_.election_min;
         if (role_ == replica_role::fresh) {
-            try_found(now);
-            auto probe = make(message_kind::probe);
+            try_found_group(now);
+            auto probe = make_message(message_kind::probe);
             probe.granted = true;
             for (const auto& it : contacts()) {
                 send_now(it, probe);
@@ -285,7 +285,7 @@
     case message_kind::snapshot_reply:
         return handle_snapshot_reply(msg, now);
     case message_kind::campaign_now:
-        if (msg.term == hard_.term && is_voter(self_) && role_ == replica_role::follower) {
+        if (msg.term == hard_state_.term && is_voter(self_) && role_ == replica_role::follower) {
             start_election(false, true, now);
         }
         return;
@@ -299,7 +299,7 @@
         return std::nullopt;
     }
     const std::uint64_t index = last_index() + 1;
-    append_entry({index, hard_.term, entry_kind::command, wall_ms, std::move(command)});
+    append_entry({index, hard_state_.term, entry_kind::command, wall_ms, std::move(command)});
     broadcast(now, false);
     return index;
 }
--- a/modules/replog/src/replica_election.cpp
+++ b/modules/replog/src/replica_election.cpp
@@ -31,17 +31,17 @@
 
 bool replica::heard_leader_recently(instant now) const
 {
-    // `last_heard_leader_` is initialized to the start time of the process: a restarted replica has
-    // no record of a leader that it heard, and an immediate vote could elect a second leader during
-    // the lease of the first.
+    // Unless `vote_at_start` is set, `last_heard_leader_` begins as the start time of the process:
+    // a restarted replica has no record of a leader that it heard, and an immediate vote could
+    // elect a second leader during the lease of the first.
     return now < last_heard_leader_ + options_.election_min;
 }
 
 void replica::become_follower(std::uint64_t term, const node_id& leader, instant now)
 {
-    if (term > hard_.term) {
-        hard_ = {term, std::nullopt};
-        save_hard();
+    if (term > hard_state_.term) {
+        hard_state_ = {term, std::nullopt};
+        save_hard_state();
     }
     if (role_ != replica_role::fresh) {
         role_ = is_voter(self_) ? replica_role::follower : replica_role::learner;
@@ -60,11 +60,11 @@
     votes_ = {self_};
     reset_election_timer(now);
     if (!pre_vote) {
-        hard_ = {hard_.term + 1, self_};
-        save_hard();
+        hard_state_ = {hard_state_.term + 1, self_};
+        save_hard_state();
     }
-    auto query = make(message_kind::vote_query);
-    query.term = pre_vote ? hard_.term + 1 : hard_.term;
+    auto query = make_message(message_kind::vote_query);
+    query.term = pre_vote ? hard_state_.term + 1 : hard_state_.term;
     query.pre_vote = pre_vote;
     query.handover = handover;
     query.prev_index = last_index();
@@ -99,26 +99,28 @@
     const bool sticky = heard_leader_recently(now) || role_ == replica_role::leader;
     if (sticky && !msg.handover) {
         // The leader's lease depends on this refusal. The reply carries this replica's own term.
-        auto reply = make(message_kind::vote_reply);
+        auto reply = make_message(message_kind::vote_reply);
         reply.pre_vote = msg.pre_vote;
         send_now(msg.from.node, reply);
         return;
     }
-    if (!msg.pre_vote && msg.term > hard_.term) {
+    if (!msg.pre_vote && msg.term > hard_state_.term) {
         become_follower(msg.term, {}, now);
     }
     const std::uint64_t own_term = term_at(last_index()).value_or(0);
     const bool up_to_date =
         msg.prev_term > own_term || (msg.prev_term == own_term && msg.prev_index >= last_index());
-    const bool term_valid = msg.pre_vote ? msg.term > hard_.term : msg.term == hard_.term;
-    const bool vote_available = msg.pre_vote || !hard_.voted_for || hard_.voted_for == msg.from;
+    const bool term_valid =
+        msg.pre_vote ? msg.term > hard_state_.term : msg.term == hard_state_.term;
+    const bool vote_available =
+        msg.pre_vote || !hard_state_.voted_for || hard_state_.voted_for == msg.from;
     const bool granted = term_valid && up_to_date && vote_available && is_voter(self_);
-    auto reply = make(message_kind::vote_reply);
+    auto reply = make_message(message_kind::vote_reply);
     reply.pre_vote = msg.pre_vote;
     reply.granted = granted;
     if (granted && !msg.pre_vote) {
-        hard_.voted_for = msg.from;
-        save_hard();
+        hard_state_.voted_for = msg.from;
+        save_hard_state();
         reset_election_timer(now);
         send_after_persist(msg.from.node, reply);
         return;
@@ -132,14 +134,14 @@
 void replica::handle_vote_reply(const message& msg, instant now)
 {
     if (!msg.granted) {
-        if (msg.term > hard_.term) {
+        if (msg.term > hard_state_.term) {
             become_follower(msg.term, {}, now);
         }
         return;
     }
-    const bool expected = msg.pre_vote
-                              ? role_ == replica_role::pre_candidate && msg.term == hard_.term + 1
-                              : role_ == replica_role::candidate && msg.term == hard_.term;
+    const bool expected =
+        msg.pre_vote ? role_ == replica_role::pre_candidate && msg.term == hard_state_.term + 1
+                     : role_ == replica_role::candidate && msg.term == hard_state_.term;
     if (!expected || !is_voter(msg.from)) {
         return;
     }
@@ -161,7 +163,7 @@
     lease_given_up_ = false;
     peers_.clear();
     term_start_index_ = last_index() + 1;
-    append_entry({term_start_index_, hard_.term, entry_kind::no_op, 0, {}});
+    append_entry({term_start_index_, hard_state_.term, entry_kind::no_op, 0, {}});
     rebuild_progress(now);
     broadcast(now, true);
 }
@@ -228,7 +230,7 @@
     if (alive < quorum()) {
         // Without a quorum another leader may have been elected: step down, so that pending
         // proposals fail.
-        become_follower(hard_.term, {}, now);
+        become_follower(hard_state_.term, {}, now);
     }
 }
 
@@ -247,10 +249,10 @@
         return;
     }
     const node_id target = best->who.node;
-    send_now(target, make(message_kind::campaign_now));
+    send_now(target, make_message(message_kind::campaign_now));
     // Voters grant the successor's election although they hear this leader, so this replica must
     // step down and not use its lease again.
-    become_follower(hard_.term, {}, now);
+    become_follower(hard_state_.term, {}, now);
     last_heard_leader_ = now - options_.election_min;
 }
 
--- a/modules/replog/src/replica_membership.cpp
+++ b/modules/replog/src/replica_membership.cpp
@@ -9,7 +9,7 @@
 
 void replica::handle_probe(const message& msg, instant now)
 {
-    auto reply = make(message_kind::probe_reply);
+    auto reply = make_message(message_kind::probe_reply);
     reply.granted = role_ == replica_role::fresh;
     send_now(msg.from.node, reply);
     if (role_ == replica_role::fresh) {
@@ -22,7 +22,7 @@
     // The sender's disk is fresh. If the initial configuration lists this disk, the founder's offer
     // was lost: repeat it. Any other fresh disk must join as a learner.
     if (base_ && base_->index == 0 && is_voter(msg.from) && base_->config == config_) {
-        auto offer = make(message_kind::found);
+        auto offer = make_message(message_kind::found);
         offer.config = base_->config;
         send_now(msg.from.node, offer);
         return;
@@ -44,10 +44,10 @@
         return;
     }
     fresh_disks_[msg.from.node] = msg.from;
-    try_found(now);
+    try_found_group(now);
 }
 
-void replica::try_found(instant now)
+void replica::try_found_group(instant now)
 {
     if (role_ != replica_role::fresh || group_exists_ || founders_.empty() ||
         founders_.front() != self_.node) {
@@ -66,7 +66,7 @@
             return;
         }
     }
-    auto offer = make(message_kind::found);
+    auto offer = make_message(message_kind::found);
     offer.config = config;
     handle_found(offer, now);
     for (const auto& it : founders_) {
@@ -88,14 +88,14 @@
     recompute_config();
     role_ = replica_role::follower;
     open_batch().base = base_;
-    save_hard();
+    save_hard_state();
     reset_election_timer(now);
 }
 
 void replica::propose_config(const group_config& config, instant now)
 {
     const std::uint64_t index = last_index() + 1;
-    append_entry({index, hard_.term, entry_kind::config, 0, wire::encode(config)});
+    append_entry({index, hard_state_.term, entry_kind::config, 0, wire::encode(config)});
     rebuild_progress(now);
     broadcast(now, false);
 }
--- a/modules/replog/src/replica_replication.cpp
+++ b/modules/replog/src/replica_replication.cpp
@@ -60,7 +60,7 @@
     if (!heartbeat && (!may_carry || !has_more)) {
         return;
     }
-    auto out = make(message_kind::append);
+    auto out = make_message(message_kind::append);
     out.prev_index = peer.next - 1;
     out.prev_term = term_at(out.prev_index).value_or(0);
     out.commit = commit_;
@@ -84,9 +84,9 @@
 
 void replica::handle_append(const message& msg, instant now)
 {
-    auto reply = make(message_kind::append_reply);
+    auto reply = make_message(message_kind::append_reply);
     reply.sent_us = msg.sent_us;
-    if (msg.term < hard_.term) {
+    if (msg.term < hard_state_.term) {
         send_now(msg.from.node, reply);
         return;
     }
@@ -96,7 +96,7 @@
         send_now(msg.from.node, reply);
         return;
     }
-    if (msg.term > hard_.term || role_ == replica_role::leader ||
+    if (msg.term > hard_state_.term || role_ == replica_role::leader ||
         role_ == replica_role::candidate || role_ == replica_role::pre_candidate ||
         leader_ != msg.from.node) {
         become_follower(msg.term, msg.from.node, now);
@@ -104,7 +104,7 @@
     last_heard_leader_ = now;
     heard_any_leader_ = true;
     reset_election_timer(now);
-    reply.term = hard_.term;
+    reply.term = hard_state_.term;
     const auto own = term_at(msg.prev_index);
     const bool behind_start = msg.prev_index < log_start_index_;
     if (!behind_start && own != msg.prev_term) {
@@ -146,12 +146,12 @@
 
 void replica::handle_append_reply(const message& msg, instant now)
 {
-    if (msg.term > hard_.term) {
+    if (msg.term > hard_state_.term) {
         become_follower(msg.term, {}, now);
         return;
     }
     const auto found = peers_.find(msg.from);
-    if (role_ != replica_role::leader || msg.term != hard_.term || found == peers_.end()) {
+    if (role_ != replica_role::leader || msg.term != hard_state_.term || found == peers_.end()) {
         return;
     }
     progress& peer = found->second;
@@ -206,13 +206,13 @@
     std::nth_element(matches.begin(), nth, matches.end(), std::greater<>{});
     // An entry of an earlier term can be overwritten even if it is on a quorum. It is committed
     // only together with an entry of the current term.
-    if (*nth <= commit_ || term_at(*nth) != hard_.term) {
+    if (*nth <= commit_ || term_at(*nth) != hard_state_.term) {
         return;
     }
     commit_ = *nth;
     deliver_committed();
     if (config_index_ <= commit_ && !is_voter(self_)) {
-        become_follower(hard_.term, {}, now);
+        become_follower(hard_state_.term, {}, now);
     }
 }
 
@@ -234,7 +234,7 @@
         peer.snapshot_offset = 0;
     }
     peer.snapshot_sent = now;
-    auto out = make(message_kind::snapshot_piece);
+    auto out = make_message(message_kind::snapshot_piece);
     out.sent_us = static_cast<std::uint64_t>(now.time_since_epoch().count());
     out.snapshot_index = base_->index;
     out.snapshot_term = base_->term;
@@ -247,15 +247,15 @@
 
 void replica::handle_snapshot_piece(const message& msg, instant now)
 {
-    if (msg.term < hard_.term || !msg.config) {
-        auto reply = make(message_kind::append_reply);
+    if (msg.term < hard_state_.term || !msg.config) {
+        auto reply = make_message(message_kind::append_reply);
         send_now(msg.from.node, reply);
         return;
     }
     heard_any_leader_ = true;
     become_follower(msg.term, msg.from.node, now);
     last_heard_leader_ = now;
-    auto reply = make(message_kind::snapshot_reply);
+    auto reply = make_message(message_kind::snapshot_reply);
     reply.sent_us = msg.sent_us;
     reply.snapshot_index = msg.snapshot_index;
     if (msg.snapshot_index <= commit_ && role_ != replica_role::fresh) {
@@ -302,7 +302,7 @@
     batch.base = base_;
     batch.reset_log = true;
     if (role_ == replica_role::fresh) {
-        save_hard();
+        save_hard_state();
         role_ = replica_role::learner;
     }
     recompute_config();
@@ -313,7 +313,7 @@
 void replica::handle_snapshot_reply(const message& msg, instant now)
 {
     const auto found = peers_.find(msg.from);
-    if (role_ != replica_role::leader || msg.term != hard_.term || found == peers_.end()) {
+    if (role_ != replica_role::leader || msg.term != hard_state_.term || found == peers_.end()) {
         return;
     }
     progress& peer = found->second;
--- a/modules/replog/src/replica_store.cpp
+++ b/modules/replog/src/replica_store.cpp
@@ -51,7 +51,7 @@
     BOOST_LEAF_CHECK(out->load_identity(std::move(self), random));
     BOOST_LEAF_CHECK(out->load_snapshot());
     BOOST_LEAF_CHECK(out->load_journal());
-    out->recovered_.hard = out->hard_;
+    out->recovered_.hard = out->hard_state_;
     return out;
 }
 
@@ -99,7 +99,7 @@
     auto opened = storage::journal::open(
         *fs_, std::move(options),
         [this] {
-            return wire::encode(journal_item{hard_, false, {}});
+            return wire::encode(journal_item{hard_state_, false, {}});
         },
         [this](std::uint64_t, std::string_view payload) { replay(payload); });
     BOOST_LEAF_AUTO(journal, std::move(opened));
@@ -116,7 +116,7 @@
         return;
     }
     if (item->hard) {
-        hard_ = *item->hard;
+        hard_state_ = *item->hard;
     }
     auto& entries = recovered_.entries;
     if (item->reset_log) {
@@ -139,7 +139,7 @@
         BOOST_LEAF_CHECK(storage::replace_file(*fs_, prefix_ + "snapshot", wire::encode(file)));
     }
     if (batch.hard) {
-        hard_ = *batch.hard;
+        hard_state_ = *batch.hard;
     }
     if (batch.hard || batch.reset_log || !batch.entries.empty()) {
         const std::uint64_t tag = batch.entries.empty() ? 0 : batch.entries.back().index;
