--- a/modules/dispatch/include/hickorypost/dispatch/answer_stream.h
+++ b/modules/dispatch/include/hickorypost/dispatch/answer_stream.h
@@ -6,28 +6,30 @@
 
 namespace hickorypost::dispatch {
 
-/// Puts an answer together from pieces that may come twice, late or with gaps, and holds back its
-/// end mark until the bill is durable.
+/// Reassembles an answer from pieces that may be duplicated, delayed or lost, and withholds the
+/// end marker of the event stream until the usage is durable in the ledger.
 class answer_stream {
 public:
-    /// Takes bytes at an offset; false if bytes before it are missing (they must be asked for).
-    bool take(std::uint64_t offset, std::string_view bytes);
-    /// Starts again from nothing, for another attempt or stage.
+    /// Appends the bytes at `offset` that are not yet stored. Returns false and stores nothing if
+    /// earlier bytes are missing; the caller must request them again.
+    bool append(std::uint64_t offset, std::string_view bytes);
+    /// Discards all bytes before another attempt or stage.
     void reset();
 
-    /// Bytes of an event stream that may be shown now: all but the end mark and what could be the
-    /// beginning of it.
-    std::string_view showable();
-    /// The rest, once the bill is durable.
-    std::string_view rest();
+    /// Returns the undelivered bytes up to the end marker, or up to a suffix that could be the
+    /// beginning of it, and counts them as delivered.
+    std::string_view take_deliverable();
+    /// Returns all undelivered bytes, the end marker included, and counts them as delivered. Call
+    /// it only once the usage is durable.
+    std::string_view take_undelivered();
 
     [[nodiscard]] std::uint64_t size() const noexcept { return bytes_.size(); }
-    [[nodiscard]] std::uint64_t shown() const noexcept { return shown_; }
+    [[nodiscard]] std::uint64_t delivered() const noexcept { return delivered_; }
     [[nodiscard]] std::string_view all() const noexcept { return bytes_; }
 
 private:
     std::string bytes_;
-    std::size_t shown_ = 0;
+    std::size_t delivered_ = 0;
 };
 
 } // namespace hickorypost::dispatch
--- a/modules/dispatch/include/hickorypost/dispatch/caller_types.h
+++ b/modules/dispatch/include/hickorypost/dispatch/caller_types.h
@@ -1,5 +1,5 @@
 #pragma once
-/// What comes from a caller, and what goes back.
+/// Types for the request from a caller and the answer to it.
 
 #include "hickorypost/base/time.h"
 
@@ -10,11 +10,11 @@
 
 namespace hickorypost::dispatch {
 
-/// A caller's message; header values are as they came, empty where there was none.
+/// A caller's HTTP request. Header values are unparsed, and empty if the header is absent.
 struct caller_input {
     std::string method;
     std::string path;
-    std::string key_sha256; ///< of the bearer key; empty without one
+    std::string key_sha256; ///< SHA-256 of the bearer key; empty if there is none
     std::string idempotency_key;
     std::string timeout_ms;
     std::string non_idempotent;
@@ -29,16 +29,16 @@
     std::string value;
 };
 
-/// What a caller is told about a request that gave no whole answer.
+/// Execution status reported to the caller of a request without a complete answer.
 enum class told_outcome : std::uint8_t {
-    not_run, ///< no backend server started it, and none will
-    failed,  ///< it ran, and its answer is lost or incomplete
+    not_run, ///< no backend server has started it or will start it
+    failed,  ///< it ran, but its answer is lost or incomplete
     unknown, ///< it may have run
 };
 
 enum class flow_timer : std::uint8_t { deadline, link };
 
-/// How a flow reaches its caller and its timers.
+/// Callbacks through which a `request_flow` answers its caller and sets its timers.
 struct caller_hooks {
     std::function<void(unsigned status, std::string_view content_type,
                        const std::vector<answer_header>&, std::string_view body)>
@@ -49,7 +49,7 @@
     std::function<void()> finish_stream;
     std::function<void(flow_timer, millis)> start_timer;
     std::function<void(flow_timer)> stop_timer;
-    std::function<void()> over; ///< once, when nothing is left to do
+    std::function<void()> over; ///< called once, when the flow has finished
 };
 
 } // namespace hickorypost::dispatch
--- a/modules/dispatch/include/hickorypost/dispatch/session_cache.h
+++ b/modules/dispatch/include/hickorypost/dispatch/session_cache.h
@@ -9,8 +9,8 @@
 
 namespace hickorypost::dispatch {
 
-/// Versions of sessions that the ledger has bound, as far as this entry has asked. A binding is
-/// write-once in the ledger, so what is cached cannot be wrong, only forgotten.
+/// Caches the version to which the ledger has bound a session. Bindings are write-once in the
+/// ledger, so a cached version never becomes stale. Evicts the oldest entry when full.
 class session_cache {
 public:
     explicit session_cache(std::size_t max_sessions) : max_sessions_{max_sessions} {}
--- a/modules/dispatch/include/hickorypost/dispatch/state_machines.h
+++ b/modules/dispatch/include/hickorypost/dispatch/state_machines.h
@@ -1,5 +1,5 @@
 #pragma once
-/// The replicated state machines of a control host, as the log drives them.
+/// The state machines to which a control host applies the replicated log of each group.
 
 #include "hickorypost/ledger/ledger_state.h"
 #include "hickorypost/records/freshness.h"
@@ -8,7 +8,7 @@
 
 namespace hickorypost::dispatch {
 
-/// Group 0: operators' records.
+/// Group 0: the operators' records, such as accounts, models and versions.
 class records_machine final : public replog::state_machine {
 public:
     explicit records_machine(records::freshness_options options)
@@ -29,7 +29,7 @@
     records::record_replica replica_;
 };
 
-/// Groups 1 and up: the ledger.
+/// Groups 1 and above: one partition of the usage ledger each.
 class ledger_machine final : public replog::state_machine {
 public:
     explicit ledger_machine(ledger::ledger_options options) : state_{options} {}
--- a/modules/dispatch/src/agent_core.cpp
+++ b/modules/dispatch/src/agent_core.cpp
@@ -24,7 +24,7 @@
 {
 }
 
-agent_core::served_backend* agent_core::backend_named(const std::string& name)
+agent_core::served_backend* agent_core::find_backend(const std::string& name)
 {
     const auto it = backends_.find(name);
     return it == backends_.end() ? nullptr : it->second.get();
@@ -33,12 +33,12 @@
 std::optional<wire::refusal> agent_core::check(const wire::start& order,
                                                const served_backend* to) const
 {
-    // A start that was addressed to a former life may come from an entry that does not know of the
-    // restart; what that life ran is not known here.
+    // An entry that has not learned of this agent's restart may address the previous incarnation,
+    // whose runs are unknown to this one.
     if (order.agent_life != life_) {
         return wire::refusal::wrong_life;
     }
-    // Without a fresh mark a withdrawal may be in force elsewhere that is not known here.
+    // If the local records are stale, a version may have been withdrawn without this agent knowing.
     if (!hooks_.fresh()) {
         return wire::refusal::not_fresh;
     }
@@ -65,7 +65,8 @@
 void agent_core::refuse(const node_id& entry, attempt_id attempt, wire::refusal reason,
                         millis retry_after)
 {
-    // A refusal says "did not run": nothing that arrives later may start this attempt.
+    // A refusal guarantees that the attempt did not run, so a start message that arrives later must
+    // not start it either.
     attempts_.tombstone(attempt, now_());
     metrics_.count("agent_refused_total");
     hooks_.send(entry,
@@ -76,13 +77,14 @@
 {
     const attempt_id attempt = order.attempt;
     if (const auto known = attempts_.state(attempt)) {
-        // A duplicate, or one that was held up until after its tombstone; never a second start.
+        // A duplicate start message, or one delayed until after the attempt was tombstoned. An
+        // attempt is never started twice.
         if (*known == admission::attempt_state::tombstoned) {
             refuse(entry, attempt, wire::refusal::tombstoned, millis{0});
         }
         return;
     }
-    served_backend* to = backend_named(order.backend);
+    served_backend* to = find_backend(order.backend);
     if (const auto reason = check(order, to)) {
         refuse(entry, attempt, *reason, options_.refusal_retry);
         return;
@@ -104,10 +106,10 @@
     run->order = std::move(order);
     const std::string name = run->order.backend;
     runs_[attempt] = std::move(run);
-    pump(name);
+    start_queued(name);
 }
 
-void agent_core::drop_queued(attempt_id attempt, wire::refusal reason)
+void agent_core::refuse_queued(attempt_id attempt, wire::refusal reason)
 {
     const auto it = runs_.find(attempt);
     if (it == runs_.end()) {
@@ -118,15 +120,16 @@
     refuse(entry, attempt, reason, options_.refusal_retry);
 }
 
-void agent_core::pump(const std::string& name)
+void agent_core::start_queued(const std::string& name)
 {
-    served_backend* on = backend_named(name);
+    served_backend* on = find_backend(name);
     if (on == nullptr) {
         return;
     }
     while (const auto job = on->queue.next()) {
         const auto run = runs_.find(job->attempt);
-        // The wait may have outlasted what it was admitted under: check again at the start.
+        // Records, the backend server and the deadline may have changed while the attempt was
+        // queued, so they are checked again before it starts.
         auto reason = run == runs_.end() ? std::optional{wire::refusal::cancelled}
                                          : check(run->second->order, on);
         if (!reason && job->deadline <= now_()) {
@@ -137,7 +140,7 @@
         }
         if (reason) {
             on->queue.released(job->urgency);
-            drop_queued(job->attempt, *reason);
+            refuse_queued(job->attempt, *reason);
             continue;
         }
         begin(*run->second, *on);
@@ -188,10 +191,10 @@
         run.first_byte_at = now_();
     }
     run.answer.append(bytes);
-    send_rest(run);
+    send_unsent(run);
 }
 
-void agent_core::send_rest(agent_run& run)
+void agent_core::send_unsent(agent_run& run)
 {
     if (run.sent < run.answer.size()) {
         wire::piece out;
@@ -201,7 +204,7 @@
         out.http_status = run.end.http_status;
         out.content_type = run.sent == 0 ? run.end.content_type : std::string{};
         if (!hooks_.send(run.entry, out)) {
-            return; // it comes back with a resume
+            return; // the entry sends wire::resume after it reconnects
         }
         run.sent = run.answer.size();
     }
@@ -222,7 +225,7 @@
     run.running = false;
     run.over_at = now;
     attempts_.end(attempt, now);
-    if (served_backend* on = backend_named(run.order.backend); on != nullptr) {
+    if (served_backend* on = find_backend(run.order.backend); on != nullptr) {
         on->queue.finished(run.order.urgency, now - run.started_at);
         run.end.running = on->queue.running();
         run.end.queued = static_cast<std::uint32_t>(on->queue.waiting());
@@ -241,8 +244,8 @@
     metrics_.observe("agent_run_seconds", static_cast<double>(run.end.ran_us) / micros_per_second);
     write_span(run);
     const std::string name = run.order.backend;
-    send_rest(run);
-    pump(name);
+    send_unsent(run);
+    start_queued(name);
 }
 
 void agent_core::write_span(const agent_run& run)
@@ -261,9 +264,9 @@
                  run.end.outcome != wire::run_outcome::complete});
 }
 
-void agent_core::take_from_queue(const agent_run& run)
+void agent_core::remove_from_queue(const agent_run& run)
 {
-    if (served_backend* on = backend_named(run.order.backend); on != nullptr) {
+    if (served_backend* on = find_backend(run.order.backend); on != nullptr) {
         on->queue.cancel(run.order.attempt);
     }
 }
@@ -277,15 +280,15 @@
     }
     if (it != runs_.end() && it->second->over) {
         it->second->entry = entry;
-        send_rest(*it->second);
+        send_unsent(*it->second);
         return;
     }
     if (it != runs_.end()) {
-        take_from_queue(*it->second);
+        remove_from_queue(*it->second);
         runs_.erase(it);
     }
     if (attempts_.state(msg.attempt) == admission::attempt_state::over) {
-        return; // ran, and its usage is settled
+        return; // the attempt ran and its usage is settled
     }
     refuse(entry, msg.attempt, wire::refusal::cancelled, millis{0});
 }
@@ -294,8 +297,8 @@
 {
     const auto it = runs_.find(msg.attempt);
     if (it == runs_.end()) {
-        // Said to have never run only if it is sure that it never will, either: the tombstone
-        // refuses a start that is still on its way.
+        // The reply may state that the attempt never ran only if it can't start later. The
+        // tombstone ensures this: it refuses a start message that is still in transit.
         const bool never = msg.agent_life == life_ && attempts_.tombstone(msg.attempt, now_());
         hooks_.send(entry, wire::unknown_attempt{msg.attempt, never});
         return;
@@ -304,7 +307,7 @@
     run.entry = entry;
     run.orphaned_at.reset();
     run.sent = std::min<std::size_t>(msg.offset, run.answer.size());
-    send_rest(run);
+    send_unsent(run);
 }
 
 void agent_core::on_settled(const wire::settled& msg)
@@ -325,7 +328,7 @@
     }
 }
 
-void agent_core::tend_orphan(attempt_id attempt, agent_run& run)
+void agent_core::handle_orphan(attempt_id attempt, agent_run& run)
 {
     if (run.running) {
         hooks_.cancel_call(attempt, wire::run_outcome::cancelled);
@@ -336,8 +339,8 @@
 
 void agent_core::bill_orphan(attempt_id attempt, agent_run& run)
 {
-    // The entry that should have billed this run is gone. The ledger takes the first fact by key,
-    // so it does not matter if that entry's own fact is still on its way.
+    // The entry responsible for billing this run is gone. The ledger accepts only the first usage
+    // fact for a request key, so a fact from that entry that is still in transit does no harm.
     run.billing = true;
     const bool complete = run.end.outcome == wire::run_outcome::complete;
     ledger::usage_fact fact;
@@ -387,14 +390,14 @@
             continue;
         }
         if (it->second->running || it->second->over) {
-            tend_orphan(attempt, *it->second);
+            handle_orphan(attempt, *it->second);
             continue;
         }
-        take_from_queue(*it->second);
+        remove_from_queue(*it->second);
         attempts_.tombstone(attempt, now);
         runs_.erase(it);
     }
-    note_silent_backends();
+    mark_silent_backends_leaving();
 }
 
 void agent_core::expire_queued()
@@ -402,12 +405,12 @@
     const instant now = now_();
     for (auto& [name, on] : backends_) {
         for (const auto& job : on->queue.expire(now)) {
-            drop_queued(job.attempt, wire::refusal::deadline);
+            refuse_queued(job.attempt, wire::refusal::deadline);
         }
     }
 }
 
-void agent_core::note_silent_backends()
+void agent_core::mark_silent_backends_leaving()
 {
     const instant now = now_();
     bool any = false;
--- a/modules/dispatch/src/answer_stream.cpp
+++ b/modules/dispatch/src/answer_stream.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-constexpr std::string_view end_mark = "data: [DONE]";
+constexpr std::string_view end_marker = "data: [DONE]";
 
 } // namespace
 
-bool answer_stream::take(std::uint64_t offset, std::string_view bytes)
+bool answer_stream::append(std::uint64_t offset, std::string_view bytes)
 {
     if (offset > bytes_.size()) {
         return false;
@@ -25,31 +25,31 @@
 void answer_stream::reset()
 {
     bytes_.clear();
-    shown_ = 0;
+    delivered_ = 0;
 }
 
-std::string_view answer_stream::showable()
+std::string_view answer_stream::take_deliverable()
 {
-    const std::string_view fresh = std::string_view{bytes_}.substr(shown_);
-    std::size_t upto = fresh.find(end_mark);
+    const std::string_view fresh = std::string_view{bytes_}.substr(delivered_);
+    std::size_t upto = fresh.find(end_marker);
     if (upto == std::string_view::npos) {
-        // The mark may be cut across pieces: keep back a tail that could be its beginning.
+        // The marker may be split across pieces: withhold a suffix that could be its beginning.
         upto = fresh.size();
-        for (std::size_t n = std::min(end_mark.size() - 1, fresh.size()); n > 0; --n) {
-            if (fresh.ends_with(end_mark.substr(0, n))) {
+        for (std::size_t n = std::min(end_marker.size() - 1, fresh.size()); n > 0; --n) {
+            if (fresh.ends_with(end_marker.substr(0, n))) {
                 upto = fresh.size() - n;
                 break;
             }
         }
     }
-    shown_ += upto;
+    delivered_ += upto;
     return fresh.substr(0, upto);
 }
 
-std::string_view answer_stream::rest()
+std::string_view answer_stream::take_undelivered()
 {
-    const std::string_view fresh = std::string_view{bytes_}.substr(shown_);
-    shown_ = bytes_.size();
+    const std::string_view fresh = std::string_view{bytes_}.substr(delivered_);
+    delivered_ = bytes_.size();
     return fresh;
 }
 
--- a/modules/dispatch/src/request_answer.cpp
+++ b/modules/dispatch/src/request_answer.cpp
@@ -94,7 +94,7 @@
     if (!attempt_.first_byte) {
         attempt_.first_byte = services_.now();
     }
-    if (!answer_.take(msg.offset, msg.bytes)) {
+    if (!answer_.append(msg.offset, msg.bytes)) {
         // Bytes are missing before this piece: have the rest sent again from where we are.
         services_.send(attempt_.backend.agent,
                        wire::resume{attempt_.id, attempt_.agent_life, answer_.size()});
@@ -110,7 +110,7 @@
                                                       : std::string_view{msg.content_type},
                              answer_headers());
     }
-    caller_.write(answer_.showable());
+    caller_.write(answer_.take_deliverable());
 }
 
 void request_flow::on_finished(const wire::finished& msg)
@@ -338,7 +338,7 @@
         // Only now does the caller get the end of its answer: had this process died before the bill
         // was durable, a whole answer would have gone out unbilled.
         if (streaming_) {
-            caller_.write(answer_.rest());
+            caller_.write(answer_.take_undelivered());
             caller_.finish_stream();
         } else {
             caller_.respond(200, answer_type_, answer_headers(), answer_.all());
--- a/modules/dispatch/src/request_flow.cpp
+++ b/modules/dispatch/src/request_flow.cpp
@@ -309,7 +309,7 @@
     // Another try is safe if the last one surely did not run, or may run twice; and only while the
     // caller has seen nothing of the first answer. A non-idempotent request stays with the agent
     // that the ledger names.
-    if (!safe || non_idempotent_ || answer_.shown() > 0 || closing_ || gone_ ||
+    if (!safe || non_idempotent_ || answer_.delivered() > 0 || closing_ || gone_ ||
         !services_.retries.try_again(tries_, remaining())) {
         return false;
     }
