--- a/modules/ledger/include/hickorypost/ledger/ledger_state.h
+++ b/modules/ledger/include/hickorypost/ledger/ledger_state.h
@@ -9,26 +9,32 @@
 namespace hickorypost::ledger {
 
 struct ledger_options {
-    /// How long a request's key is remembered, from its first mention. Usage that is older is
-    /// refused as late instead of being billed a second time.
+    /// How long a request key is kept after the first command that names it. Usage of a request
+    /// that started before this window and has no key is recorded as late and not billed, because
+    /// it may have been billed already.
     std::int64_t window_ms = 15LL * 60 * 1000;
-    /// The same for non-idempotent requests, whose resends must find the first attempt.
+    /// The same for non-idempotent requests, whose retries by the caller must find the first
+    /// attempt.
     std::int64_t non_idempotent_window_ms = 24LL * 60 * 60 * 1000;
-    /// How long a session is bound after its last mention.
+    /// How long a session stays bound after the last bind command that names it.
     std::int64_t session_ms = 24LL * 60 * 60 * 1000;
 };
 
-/// The state of one ledger group. What it holds is bounded by the windows plus one row per account,
-/// version, hour and outcome; it does not grow with the number of requests ever made.
+/// The replicated state of one ledger group. Its size is bounded by the requests and sessions
+/// within the retention windows plus one row per account, version, hour and outcome; it does not
+/// grow with the total number of requests.
 class ledger_state {
 public:
     explicit ledger_state(ledger_options options) : options_{options} {}
 
-    /// Applies a batch; `wall_ms` is the leader's stamp and never runs backwards here.
+    /// Applies a batch. `wall_ms` is the leader's wall-clock time in ms; a value below an earlier
+    /// one is raised to it.
     ledger_batch_reply apply(std::int64_t wall_ms, const ledger_batch& batch);
     [[nodiscard]] report_answer report(const report_query& query) const;
 
     [[nodiscard]] std::string save() const;
+    /// Replaces the state by a saved one; empty input resets it. Returns false and keeps the state
+    /// if `bytes` is malformed or of a newer format.
     bool load(std::string_view bytes);
 
     [[nodiscard]] std::size_t open_keys() const noexcept { return requests_.size(); }
@@ -87,13 +93,13 @@
     std::uint64_t wasted_tokens_ = 0;
 };
 
-/// Ledger group of a request or session; the same on every host.
+/// Index of the ledger group of a request or session; the same on every host.
 std::uint32_t group_of(const request_key& key, std::uint32_t groups) noexcept;
 std::uint32_t group_of_session(std::string_view account, std::string_view session,
                                std::uint32_t groups) noexcept;
 
-/// Cost in millionths of the currency unit; prices are per million tokens. Rounds up once per line,
-/// so that the sum over lines is the total exactly.
+/// Cost in millionths of the currency unit; prices are per million tokens. Rounds up once per
+/// line, so that the sum over lines equals the total exactly.
 std::int64_t cost_of(const wire::usage& used, std::int64_t price_in,
                      std::int64_t price_out) noexcept;
 
--- a/modules/ledger/include/hickorypost/ledger/ledger_types.h
+++ b/modules/ledger/include/hickorypost/ledger/ledger_types.h
@@ -1,5 +1,5 @@
 #pragma once
-/// Commands, answers and queries of the ledger: what ran for whom, and what it cost.
+/// Commands, replies and queries of the ledger, which records the runs and cost of each request.
 
 #include "hickorypost/base/ids.h"
 #include "hickorypost/wire/messages.h"
@@ -11,7 +11,8 @@
 
 namespace hickorypost::ledger {
 
-/// Says that a request is about to run. Write-once by key for non-idempotent requests.
+/// Records the attempt and agent of a request. The first open of a key wins; a non-idempotent
+/// request is opened before its attempt is sent.
 struct open_request {
     request_key key;
     attempt_id attempt = 0;
@@ -22,7 +23,7 @@
     bool non_idempotent = false;
 };
 
-/// Binds a session to a version, unless it is bound already.
+/// Binds a session to a version, unless the session is already bound.
 struct bind_session {
     std::string account;
     std::string session;
@@ -31,10 +32,10 @@
 
 enum class request_outcome : std::uint8_t {
     complete,
-    failed,    ///< it ran and gave no whole answer
-    cancelled, ///< the caller went away; what ran is billed
-    unknown,   ///< opened, but no usage arrived: both holders of it were lost
-    late,      ///< usage came after the window; not billed
+    failed,    ///< it ran without a complete answer
+    cancelled, ///< the caller disconnected; the usage so far is billed
+    unknown,   ///< opened, but both its entry and its agent were lost before billing
+    late,      ///< usage arrived after the window; not billed
 };
 
 std::string_view name_of(request_outcome outcome) noexcept;
@@ -50,7 +51,7 @@
     std::int64_t total_ms = 0;
 };
 
-/// The bill of one request; the first to commit counts.
+/// The usage and cost of one request. Only the first committed fact of a request key is billed.
 struct usage_fact {
     request_key key;
     attempt_id attempt = 0;
@@ -68,7 +69,7 @@
     std::optional<usage_fact> usage;
 };
 
-/// The command of a ledger group's log: all that waited at an entry when it was sent.
+/// A log entry of a ledger group: all commands that were pending at a host when it was proposed.
 struct ledger_batch {
     std::vector<ledger_command> commands;
 };
@@ -81,9 +82,9 @@
 
 struct ledger_reply {
     ledger_status status = ledger_status::recorded;
-    std::string bound_version;             ///< bind: the version that the session is on
+    std::string bound_version;             ///< bind: the version to which the session is bound
     std::optional<open_request> holder;    ///< open, duplicate: the first attempt
-    std::optional<request_outcome> closed; ///< open, duplicate: its outcome, if it is over
+    std::optional<request_outcome> closed; ///< open, duplicate: its outcome, if it has ended
 };
 
 struct ledger_batch_reply {
@@ -92,9 +93,9 @@
 
 struct report_query {
     std::int64_t from_ms = 0;
-    std::int64_t to_ms = 0; ///< 0: no end
-    std::string account;    ///< empty: all
-    bool details = false;   ///< also the requests still in the window
+    std::int64_t to_ms = 0; ///< 0: no upper bound
+    std::string account;    ///< empty: all accounts
+    bool details = false;   ///< also list the requests within the retention window
 };
 
 /// Totals of an account's requests on a version in an hour, by outcome.
@@ -123,9 +124,9 @@
 struct report_answer {
     std::vector<report_row> rows;
     std::vector<report_detail> details;
-    std::uint64_t open = 0;            ///< requests running, or whose usage is still to come
-    std::uint64_t duplicate_usage = 0; ///< second runs that were not billed
-    std::uint64_t wasted_tokens = 0;   ///< of those
+    std::uint64_t open = 0;            ///< requests without committed usage
+    std::uint64_t duplicate_usage = 0; ///< usage of further attempts, not billed
+    std::uint64_t wasted_tokens = 0;   ///< prompt and completion tokens of `duplicate_usage`
     std::uint64_t facts = 0;
 };
 
--- a/modules/ledger/src/ledger_state.cpp
+++ b/modules/ledger/src/ledger_state.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Tokens times price can pass 64 bits before the division brings it back.
+/// Holds tokens times price before the division, which can overflow 64 bits.
 __extension__ using wide_integer = __int128;
 
 constexpr std::int64_t hour_ms = 3'600'000;
@@ -62,7 +62,8 @@
 
 ledger_batch_reply ledger_state::apply(std::int64_t wall_ms, const ledger_batch& batch)
 {
-    // A new leader's clock may be behind the last one's; windows must not reopen.
+    // A new leader's clock may be behind its predecessor's. Time must not go backwards, or a window
+    // that has passed would open again.
     now_ms_ = std::max(now_ms_, wall_ms);
     expire();
     ledger_batch_reply out;
@@ -108,7 +109,7 @@
         return out;
     }
     if (entry.was_opened && entry.opened.attempt == open.attempt) {
-        return out; // the same write, resent because its answer was lost
+        return out; // the same command, retried because its reply was lost
     }
     out.status = ledger_status::duplicate;
     out.holder = entry.opened;
@@ -149,7 +150,8 @@
     const std::int64_t window =
         fact.non_idempotent ? options_.non_idempotent_window_ms : options_.window_ms;
     if (known == requests_.end() && fact.started_wall_ms + window < now_ms_) {
-        // The key may have been billed and forgotten: billing again could be the second time.
+        // The request may have been billed before its key expired, so billing it now could bill it
+        // twice.
         usage_fact late = fact;
         late.outcome = request_outcome::late;
         for (auto& it : late.lines) {
@@ -194,7 +196,7 @@
     const std::int64_t hour = now_ms_ / hour_ms * hour_ms;
     bool counted = false;
     for (auto it = fact.lines.rbegin(); it != fact.lines.rend(); ++it) {
-        // The request counts once, at the version that gave its answer: the last stage.
+        // The request counts once, for the version that gave its answer: the last stage.
         report_row& to = row({fact.key.account, it->target, hour, fact.outcome});
         to.requests += counted ? 0U : 1U;
         counted = true;
@@ -223,7 +225,7 @@
     while (!queue.empty() && queue.front().due_ms <= now_ms_) {
         const auto found = requests_.find(queue.front().key);
         if (found != requests_.end() && !found->second.closed) {
-            // Opened and never closed: the agent and the entry that held its usage are both gone.
+            // Opened but never closed: both the entry and the agent were lost before billing.
             const std::int64_t hour = found->second.first_seen_ms / hour_ms * hour_ms;
             report_row& to =
                 row({found->first.account, found->second.target, hour, request_outcome::unknown});
@@ -291,7 +293,7 @@
 struct ledger_state::saved_state {
     std::uint32_t format = saved_format;
     std::int64_t now_ms = 0;
-    std::vector<saved_request> requests; ///< by time of first mention
+    std::vector<saved_request> requests; ///< in expiry order, short window first
     std::vector<saved_session> sessions;
     std::vector<report_row> rows;
     std::uint64_t facts = 0;
--- a/modules/ledger/tests/ledger_state_test.cpp
+++ b/modules/ledger/tests/ledger_state_test.cpp
@@ -41,8 +41,8 @@
 
 BOOST_AUTO_TEST_SUITE(ledger)
 
-// The same usage comes twice, from entry and agent, and a second run's usage comes too: one bill,
-// and the second run shows as waste.
+// Entry and agent both report the usage of one attempt, and a second attempt reports its own usage.
+// Billing either duplicate would charge the account twice; only the second attempt counts as waste.
 BOOST_AUTO_TEST_CASE(first_usage_counts_and_the_rest_is_waste)
 {
     ledger_state state{{}};
@@ -60,8 +60,8 @@
     BOOST_TEST(report.wasted_tokens == 30U);
 }
 
-// Usage arrives after the key has been forgotten. It may have been billed: it shows as late and
-// costs nothing, rather than being billed a second time.
+// Usage arrives after its request key has expired. The request may have been billed already, so the
+// usage is recorded as late at no cost instead of being billed twice.
 BOOST_AUTO_TEST_CASE(late_usage_is_never_billed_twice)
 {
     ledger_state state{{.window_ms = 1000}};
