--- a/modules/dispatch/src/request_answer.cpp
+++ b/modules/dispatch/src/request_answer.cpp
@@ -1,4 +1,4 @@
-/// The second half of a caller's request: from its agent's answer to its settled bill.
+/// Second phase of a request: from the agent's answer to the settled usage.
 
 #include "hickorypost/dispatch/billing.h"
 #include "hickorypost/dispatch/request_flow.h"
@@ -11,9 +11,9 @@
 
 namespace {
 
-/// An agent whose link was lost has this long to come back with the rest of an answer.
+/// Time that a lost link to an agent has to come back before the attempt counts as lost.
 constexpr millis resume_grace{4000};
-/// After the deadline the agent has this long to say how the run ended, for the bill's sake.
+/// Time after the deadline that the agent has to report the usage of the run, which is billed.
 constexpr millis end_grace{3000};
 constexpr millis rating_limit{30'000};
 constexpr unsigned first_error_status = 400;
@@ -60,7 +60,7 @@
     return "cancelled";
 }
 
-/// An answer that says the backend server could not do its work, not that the request was wrong.
+/// Whether the backend server failed, as opposed to rejecting the request as invalid.
 bool is_backend_fault(const wire::finished& msg)
 {
     return msg.outcome == wire::run_outcome::engine_error &&
@@ -95,7 +95,7 @@
         attempt_.first_byte = services_.now();
     }
     if (!answer_.append(msg.offset, msg.bytes)) {
-        // Bytes are missing before this piece: have the rest sent again from where we are.
+        // Bytes before this piece are missing: request the answer again from the first missing one.
         services_.send(attempt_.backend.agent,
                        wire::resume{attempt_.id, attempt_.agent_life, answer_.size()});
         return;
@@ -145,7 +145,7 @@
         return;
     }
     if (msg.outcome == wire::run_outcome::engine_error) {
-        // The backend server refused the request itself; its words go to the caller as they are.
+        // The backend server rejected the request: forward its answer unchanged.
         closing_ = true;
         caller_.respond(msg.http_status, msg.content_type, answer_headers(), answer_.all());
         bill(ledger::request_outcome::failed);
@@ -153,7 +153,8 @@
     }
     const bool late = msg.outcome == wire::run_outcome::deadline;
     fail(late ? 504 : 502, late ? "deadline" : "cancelled",
-         late ? "the deadline passed while it ran" : "the run was cancelled", told_outcome::failed);
+         late ? "the deadline passed while the request ran" : "the run was cancelled",
+         told_outcome::failed);
 }
 
 void request_flow::on_unknown(const wire::unknown_attempt& msg)
@@ -190,8 +191,8 @@
 
 void request_flow::on_link_back()
 {
-    // The old connection may have taken frames with it, in either direction: ask for the attempt by
-    // its identity. The agent sends the rest, or says that it never saw it.
+    // Frames in either direction may have been lost with the old connection, so ask for the attempt
+    // by its id. The agent sends the missing bytes or replies that it does not know the attempt.
     stop_link_timer();
     services_.send(attempt_.backend.agent,
                    wire::resume{attempt_.id, attempt_.agent_life, answer_.size()});
@@ -321,10 +322,11 @@
 
 void request_flow::report_unknown()
 {
-    // It may have run, and what it used is not known here. The agent bills it if it did; if the
-    // agent is lost as well, this entry makes the report say unknown instead of nothing.
+    // The request may have run, with usage unknown to this entry. If it ran, the agent bills it. In
+    // case the agent is lost as well, opening the request here lets the usage report list it as
+    // unknown instead of omitting it.
     if (non_idempotent_) {
-        return; // opened before it was sent
+        return; // already opened before its attempt was sent
     }
     services_.write_ledger(1 + ledger::group_of(fact_.key, services_.ledger_groups()),
                            open_command(false), millis{0}, [](const ledger::ledger_reply*) {});
@@ -335,8 +337,8 @@
     settle_attempts();
     const bool whole = fact_.outcome == ledger::request_outcome::complete && !fact_.lines.empty();
     if (!gone_ && whole) {
-        // Only now does the caller get the end of its answer: had this process died before the bill
-        // was durable, a whole answer would have gone out unbilled.
+        // The end of the answer is delivered only now: if this process failed before the usage was
+        // durable, a complete answer would have been delivered unbilled.
         if (streaming_) {
             caller_.write(answer_.take_undelivered());
             caller_.finish_stream();
@@ -377,8 +379,8 @@
     const auto keep = shared_from_this();
     closing_ = true;
     if (outcome == told_outcome::not_run && non_idempotent_ && key_given_ && !opened_) {
-        // An earlier sending of the same key, through another entry, may have run. Only who holds
-        // the key in the ledger can say that it did not.
+        // The caller may have sent the same key through another entry, and that request may have
+        // run. Only the attempt that holds the key in the ledger can rule this out.
         outcome = told_outcome::unknown;
     }
     if (outcome == told_outcome::not_run && on_candidate_) {
@@ -393,7 +395,7 @@
                                    {"request_id", fact_.key.request}}}};
     const std::string text = body.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
     if (streaming_) {
-        // The answer has begun: it ends with an explicit error and without its end mark.
+        // Part of the answer was sent: end the stream with an error and without the end marker.
         caller_.write("data: " + text + "\n\n");
         caller_.finish_stream();
     } else {
@@ -434,11 +436,11 @@
         fail(403, type, "the account may not use this model and version", told_outcome::not_run);
         return;
     case wire::refusal::deadline:
-        fail(504, type, "no backend server can start it before its deadline", told_outcome::not_run,
-             retry_hint_);
+        fail(504, type, "no backend server can start the request before its deadline",
+             told_outcome::not_run, retry_hint_);
         return;
     default:
-        fail(503, type, "no backend server can take it now", told_outcome::not_run,
+        fail(503, type, "no backend server can accept the request now", told_outcome::not_run,
              std::max(retry_hint_, millis{200}));
     }
 }
@@ -453,7 +455,7 @@
     closing_ = true;
     services_.metrics.count("entry_callers_gone_total");
     if (attempt_.live) {
-        // What has run is billed once the agent says how far it came.
+        // The usage so far is billed once the agent reports it.
         services_.send(attempt_.backend.agent, wire::cancel{attempt_.id});
         return;
     }
@@ -468,8 +470,8 @@
     const auto keep = shared_from_this();
     deadline_passed_ = true;
     if (!attempt_.live) {
-        fail(504, "deadline", "the deadline passed before it could start", told_outcome::not_run,
-             retry_hint_);
+        fail(504, "deadline", "the deadline passed before the request could start",
+             told_outcome::not_run, retry_hint_);
         return;
     }
     services_.send(attempt_.backend.agent, wire::cancel{attempt_.id});
--- a/modules/dispatch/src/request_flow.cpp
+++ b/modules/dispatch/src/request_flow.cpp
@@ -11,7 +11,8 @@
 namespace {
 
 constexpr millis unavailable_retry{1000};
-/// How long the note that a request runs is tried; after that only its bill says so.
+/// Time limit for recording an open request in the ledger. If it passes, the ledger learns of the
+/// request only when its usage is billed.
 constexpr millis note_limit{10'000};
 
 } // namespace
@@ -95,7 +96,8 @@
     if (!service_) {
         const auto verdict = services_.records().check(fact_.key.account, target());
         if (verdict == records::verdict::withdrawn) {
-            // A session is never moved to another version in silence; its caller decides.
+            // A session is never moved to another version implicitly; the caller has to start a new
+            // session.
             const bool bound = reply != nullptr;
             fail(bound ? 409 : 410, bound ? "session_version_withdrawn" : "version_withdrawn",
                  bound ? "the session's version was withdrawn; start a new session"
@@ -141,8 +143,8 @@
         note_open();
         return;
     }
-    // Which agent will run it must be in the ledger before it is sent: a resend through any entry
-    // then finds this attempt instead of starting a second.
+    // The ledger must name the agent of a non-idempotent request before the request is sent, so
+    // that a retry through any entry finds this attempt instead of starting a second one.
     const auto choice =
         services_.router.choose({target(), prefix_, prompt_tokens_, {}}, services_.now());
     if (!choice) {
@@ -160,8 +162,8 @@
 
 void request_flow::note_open()
 {
-    // Written while the engine already works, and not waited for: should this entry and the agent
-    // both be lost before the bill, the report says unknown instead of nothing.
+    // Written asynchronously while the attempt runs. If this entry and the agent are both lost
+    // before billing, the usage report then lists the request as unknown instead of omitting it.
     if (!attempt_.live || closing_) {
         return;
     }
@@ -203,8 +205,8 @@
 void request_flow::attach(const ledger::open_request& holder,
                           std::optional<ledger::request_outcome> closed)
 {
-    // The key has run, or is running: this caller gets that run's answer or hears its fate, never a
-    // second run.
+    // The ledger already holds an attempt for this key. The caller receives the answer or the
+    // outcome of that attempt; a second one is never started.
     attempt_.id = holder.attempt;
     attempt_.backend = {holder.agent, holder.backend};
     attempt_.agent_life = holder.agent_life;
@@ -223,7 +225,7 @@
         const bool known = closed && *closed == ledger::request_outcome::complete;
         fail(409, "already_requested",
              known ? "this request was completed; its answer is no longer kept"
-                   : "this request was sent before; its outcome is not known here",
+                   : "this request was sent before; its outcome is unknown to this entry",
              told_outcome::unknown);
     }
 }
@@ -280,7 +282,7 @@
     order.traceparent = trace_.header();
     services_.router.started(attempt_.backend, prefix_, services_.now());
     if (!services_.send(attempt_.backend.agent, order)) {
-        // Nothing left this process: the attempt surely did not run.
+        // Nothing was sent, so the attempt did not run.
         close_attempt(true, micros{0});
         if (!try_elsewhere(true)) {
             give_up();
@@ -306,9 +308,9 @@
 
 bool request_flow::try_elsewhere(bool safe)
 {
-    // Another try is safe if the last one surely did not run, or may run twice; and only while the
-    // caller has seen nothing of the first answer. A non-idempotent request stays with the agent
-    // that the ledger names.
+    // A retry is safe if the last attempt did not run or the request may run twice, and only while
+    // no part of the answer was delivered to the caller. A non-idempotent request stays with the
+    // agent that the ledger names.
     if (!safe || non_idempotent_ || answer_.delivered() > 0 || closing_ || gone_ ||
         !services_.retries.try_again(tries_, remaining())) {
         return false;
@@ -322,7 +324,7 @@
 void request_flow::on_event(attempt_id id, const attempt_event& event)
 {
     if (id != attempt_.id || !attempt_.live) {
-        return; // of an attempt that was given up
+        return; // the event belongs to an attempt that was closed
     }
     const auto keep = shared_from_this();
     struct visitor {
--- a/modules/dispatch/src/request_resolve.cpp
+++ b/modules/dispatch/src/request_resolve.cpp
@@ -1,4 +1,5 @@
-/// The first part of a caller's request: who asks, for what, and on which model and version.
+/// First phase of a request: reads headers and body, identifies the client account, applies its
+/// limits and resolves the model version or service.
 
 #include "hickorypost/dispatch/request_flow.h"
 
@@ -15,7 +16,7 @@
 constexpr std::size_t prefix_bytes = 512;
 constexpr millis not_fresh_retry{500};
 
-/// A number of milliseconds in a header; nothing if it is not one.
+/// Parses a decimal number of milliseconds of at most 9 digits; nullopt if `text` is anything else.
 std::optional<millis> parse_millis(std::string_view text)
 {
     if (text.empty() || text.size() > 9 ||
@@ -66,8 +67,9 @@
 bool request_flow::identify()
 {
     if (!services_.fresh()) {
-        // Without a fresh mark this entry may not know of a withdrawal that is in force elsewhere.
-        fail(503, "not_fresh", "this entry has lost touch with the control hosts",
+        // If the local records are stale, a version may have been withdrawn without this entry
+        // knowing.
+        fail(503, "not_fresh", "this entry has no current records from the control hosts",
              told_outcome::not_run, not_fresh_retry);
         return false;
     }
