--- a/modules/records/include/hickorypost/records/freshness.h
+++ b/modules/records/include/hickorypost/records/freshness.h
@@ -9,51 +9,57 @@
 namespace hickorypost::records {
 
 struct freshness_options {
-    /// How old a mark may be. A change is in force everywhere once this has passed after its
-    /// commit: whoever has not seen it by then holds no usable mark and starts nothing new.
+    /// Maximum age of a freshness mark. A committed change is in force on every node once this time
+    /// plus the allowance for clock drift has passed (see `in_force_at`): by then the mark of a
+    /// node that has not received the change has expired, and the node starts no new work.
     millis lease{2000};
-    /// Bound on how much faster one host's monotonic clock runs than another's.
+    /// Maximum relative rate difference between the monotonic clocks of two hosts (0.01 = 1 %).
     double clock_drift = 0.01;
-    std::size_t kept_changes = 256; ///< a node further behind than this gets the whole state
+    std::size_t kept_changes = 256; ///< a node that lags by more changes gets a snapshot
 };
 
-/// When a change committed at `committed` is in force everywhere, by the committing leader's clock.
+/// Returns the time from which a change committed at `committed` is in force on every node. Both
+/// times are on the clock of the leader that committed the change.
 instant in_force_at(instant committed, const freshness_options& options);
 
-/// A node's copy of the records and its freshness lease. Sans I/O.
+/// A node's replica of the records and its freshness lease. Performs no I/O.
 ///
-/// A mark says "at `origin` the newest committed change was `index`". Marks come from the leader or
-/// are relayed by any node that holds one; their age grows on the way, so the lease ends at the
-/// same time wherever the mark is used.
+/// A freshness mark states that the newest committed change at time `origin` had index `index`.
+/// The leader issues marks, and any node with a valid mark relays it together with its age. The
+/// receiver adds the time since it sent its query to that age, so that, apart from clock drift, a
+/// lease from a relayed mark ends no later than the lease from the original mark.
 class record_replica {
 public:
     explicit record_replica(freshness_options options) : options_{options} {}
 
-    /// A question to be sent to a control host or to any peer.
+    /// Creates a query for a control host or any peer and remembers when it was sent.
     wire::fresh_query make_query(instant now);
-    /// Takes the answer to a question of ours; true if records changed.
+    /// Applies the reply to a query from `make_query` and returns true if the records changed.
+    /// Ignores replies to unknown queries and replies from peers without a valid mark.
     bool take_reply(const wire::fresh_reply& reply);
-    /// Answers a peer from what is held here.
+    /// Answers a peer's query from this replica; the reply is invalid if the local lease has
+    /// expired.
     [[nodiscard]] wire::fresh_reply answer(const wire::fresh_query& query, instant now) const;
 
-    /// May new work start here now?
+    /// Returns true while the lease is valid, that is, while this node may start new work.
     [[nodiscard]] bool fresh(instant now) const;
     [[nodiscard]] micros lease_left(instant now) const;
     [[nodiscard]] const records_state& state() const noexcept { return state_; }
 
-    /// For a control host: its own log feeds the records, its leadership the mark.
+    /// The following functions are for control hosts, which apply changes and snapshots from their
+    /// own log and, as the leader, renew their own mark.
     void take_committed(std::uint64_t index, std::int64_t wall_ms, std::string_view command);
     void take_snapshot(std::string_view state);
     void take_own_mark(std::uint64_t index, instant now);
     change_result last_result() const { return last_result_; }
 
 private:
-    struct open_query {
+    struct pending_query {
         std::uint64_t id = 0;
         instant sent;
     };
 
-    void keep(std::uint64_t index, std::int64_t wall_ms, std::string_view command);
+    void apply_and_retain(std::uint64_t index, std::int64_t wall_ms, std::string_view command);
 
     freshness_options options_;
     records_state state_;
@@ -61,7 +67,7 @@
     std::uint64_t recent_after_ = 0; ///< `recent_` holds all changes after this index
     std::uint64_t mark_index_ = 0;
     std::optional<instant> mark_origin_;
-    std::deque<open_query> queries_;
+    std::deque<pending_query> queries_;
     std::uint64_t next_query_ = 1;
     change_result last_result_;
 };
--- a/modules/records/include/hickorypost/records/record_parser.h
+++ b/modules/records/include/hickorypost/records/record_parser.h
@@ -1,5 +1,5 @@
 #pragma once
-/// Reads record documents (JSON) of every schema version there ever was.
+/// Parses record documents (JSON) of all schema versions, from 1 to the newest.
 
 #include "hickorypost/base/result.h"
 #include "hickorypost/records/record_types.h"
@@ -8,14 +8,14 @@
 
 namespace hickorypost::records {
 
-/// One fault in a document, with its place.
+/// An error in a document, with its line and key.
 struct record_fault {
-    std::size_t line = 0; ///< 0: the document as a whole
+    std::size_t line = 0; ///< 1-based; 0 if the line is unknown
     std::string key;
     std::string expected;
 };
 
-/// All faults of a document.
+/// All errors found in a document.
 struct record_error {
     std::string source; ///< file name or change id
     std::vector<record_fault> faults;
@@ -31,14 +31,15 @@
     record_kind kind = record_kind::account;
     std::string name;
     std::uint64_t schema = 0;
-    std::uint64_t number = 0; ///< the operator's number; grows with each amendment
+    std::uint64_t number = 0; ///< revision set by the operator; each amendment raises it
     record_body body;
 };
 
-/// Newest schema version known for a kind; all from 1 on can be read.
+/// Returns the newest supported schema version of a kind. All versions from 1 on can be parsed.
 std::uint64_t newest_schema(record_kind kind) noexcept;
 
-/// Fails with `record_error` that names every fault.
+/// Parses a document. Fails with a `record_error` that lists all errors found; `source` names the
+/// document in it.
 result<parsed_record> parse_record(std::string_view document, std::string_view source);
 
 } // namespace hickorypost::records
--- a/modules/records/include/hickorypost/records/records_state.h
+++ b/modules/records/include/hickorypost/records/records_state.h
@@ -8,17 +8,17 @@
 
 namespace hickorypost::records {
 
-/// An operator's change as it travels through the replicated log.
+/// An operator's change to a record, as stored in the replicated log.
 struct record_change {
-    std::string change_id; ///< names this very change; resending it gets the first answer again
+    std::string change_id; ///< idempotency key: a resend returns the first result
     std::string kind;
     std::string name;
     std::uint64_t number = 0;
-    std::uint64_t amends = 0; ///< the number that the operator saw; 0: the record must be new
+    std::uint64_t amends = 0; ///< number of the amended revision; 0: creates the record
     std::string document;
 };
 
-/// The command of the records group's log.
+/// A command in the log of the records group.
 struct records_command {
     std::optional<record_change> change;
     std::optional<rollout_progress> progress;
@@ -26,19 +26,19 @@
 
 enum class change_status : std::uint8_t {
     accepted,
-    number_taken, ///< another change with this or a higher number came first
-    stale,        ///< amends a number that is no longer the newest
+    number_taken, ///< the record already has this or a higher number
+    stale,        ///< `amends` is not the record's newest number
     missing,      ///< amends a record that does not exist
     exists,       ///< submitted as new, but the record exists
-    id_reused,    ///< the change id was used for other content
-    invalid,      ///< the document has faults
+    id_reused,    ///< another change was submitted under the same change id
+    invalid,      ///< the document or the command cannot be parsed
 };
 
 struct change_result {
     change_status status = change_status::accepted;
     std::uint64_t index = 0;  ///< of the change in the log
     std::uint64_t number = 0; ///< the record's newest number now
-    std::string winner;       ///< change id that holds it
+    std::string winner;       ///< id of the change that holds `number`
     std::string detail;
 };
 
@@ -60,23 +60,26 @@
     withdrawn
 };
 
-/// All records: the state machine of the records group, and the same state as each node follows it.
+/// The state machine of the records group. Control hosts apply the group's log to it, and every
+/// other node applies the same commands to a replica.
 class records_state {
 public:
-    /// Applies one command of the log; deterministic.
+    /// Applies one command of the log. Deterministic.
     change_result apply(std::uint64_t index, std::int64_t wall_ms, const records_command& command);
-    /// Applies an encoded command; a command that cannot be read changes nothing but the index.
+    /// Decodes and applies a command. A command that cannot be decoded only advances the index and
+    /// returns `change_status::invalid`.
     change_result apply_encoded(std::uint64_t index, std::int64_t wall_ms,
                                 std::string_view command);
 
     [[nodiscard]] std::string save() const;
-    /// Fails (false) on bytes that are not a saved state; the state is then unchanged.
+    /// Restores a state from `save`; empty `bytes` restore the empty state. Returns false and
+    /// leaves the state unchanged if `bytes` cannot be decoded or have a newer format.
     bool load(std::string_view bytes);
 
     [[nodiscard]] std::uint64_t index() const noexcept { return index_; }
     [[nodiscard]] std::vector<stored_record> list() const;
 
-    /// What a change would meet now, without applying it.
+    /// Returns the result that `change` would have now, without applying it.
     [[nodiscard]] change_result preview(const record_change& change) const;
 
     [[nodiscard]] const account_record* account_by_key_hash(std::string_view sha256) const;
@@ -86,15 +89,17 @@
     [[nodiscard]] const cascade_record* cascade(std::string_view name) const;
     [[nodiscard]] const version_entry* version(const model_version& mv) const;
     [[nodiscard]] bool withdrawn(const model_version& mv) const;
-    /// May this account start work on this version now?
+    /// Checks whether the account may start work on this version now.
     [[nodiscard]] verdict check(std::string_view account, const model_version& mv) const;
     [[nodiscard]] verdict check_service(std::string_view account, std::string_view service) const;
 
-    /// The roll-out of a model that is running or done, if any.
+    /// Returns the roll-out of a model, in any state, that was submitted or amended last, or null
+    /// if none exists.
     [[nodiscard]] const rollout_record* rollout_of(std::string_view model) const;
     [[nodiscard]] const rollout_progress* progress_of(std::string_view rollout) const;
     [[nodiscard]] std::uint64_t number_of(record_kind kind, std::string_view name) const;
-    /// Version that new requests for the model get outside a roll-out's candidate share.
+    /// Returns the version for new requests outside the share of a roll-out's candidate, or an
+    /// empty string if the model is unknown.
     [[nodiscard]] std::string current_version(std::string_view model) const;
     [[nodiscard]] const std::map<std::string, rollout_record>& rollouts() const noexcept
     {
@@ -106,7 +111,7 @@
     }
 
 private:
-    struct seen_change {
+    struct processed_change {
         std::uint64_t digest = 0;
         change_result result;
     };
@@ -115,16 +120,16 @@
     change_result apply_change(std::uint64_t index, std::int64_t wall_ms,
                                const record_change& change);
     void apply_progress(std::int64_t wall_ms, rollout_progress progress);
-    void adopt(const stored_record& record);
-    void remember(const std::string& change_id, seen_change seen);
+    void index_parsed(const stored_record& record);
+    void store_result(const std::string& change_id, processed_change processed);
 
     std::uint64_t index_ = 0;
     std::map<std::string, stored_record> records_; ///< by "kind/name"
-    std::unordered_map<std::string, seen_change> seen_;
-    std::deque<std::string> seen_order_;
+    std::unordered_map<std::string, processed_change> results_;
+    std::deque<std::string> result_order_;
     std::map<std::string, rollout_progress> progress_;
 
-    // Parsed forms of `records_`.
+    // Parsed forms of the documents in `records_`.
     std::map<std::string, account_record, std::less<>> accounts_;
     std::unordered_map<std::string, std::string> account_by_hash_;
     std::map<std::string, model_record> models_;
--- a/modules/records/src/field_reader.cpp
+++ b/modules/records/src/field_reader.cpp
@@ -37,7 +37,7 @@
 
 const nlohmann::json* field_reader::find(const char* key, bool required)
 {
-    asked_.insert(key);
+    read_keys_.insert(key);
     const auto it = object_.find(key);
     if (it == object_.end()) {
         if (required) {
@@ -159,9 +159,9 @@
 void field_reader::refuse_unknown()
 {
     for (const auto& [key, value] : object_.items()) {
-        if (!asked_.contains(key)) {
+        if (!read_keys_.contains(key)) {
             std::string known;
-            for (const auto& it : asked_) {
+            for (const auto& it : read_keys_) {
                 known += known.empty() ? it : ", " + it;
             }
             fault(key.c_str(), "one of the known keys: " + known);
--- a/modules/records/src/field_reader_priv.h
+++ b/modules/records/src/field_reader_priv.h
@@ -7,7 +7,7 @@
 
 namespace hickorypost::records::detail {
 
-/// Takes typed fields out of a JSON object and gathers every fault with its line.
+/// Reads typed fields from a JSON object and collects all errors with their line and key.
 class field_reader {
 public:
     field_reader(const nlohmann::json& object, std::string_view text, std::string path,
@@ -20,11 +20,11 @@
     double number(const char* key, double fallback, double low, double high);
     bool flag(const char* key, bool fallback);
     std::vector<std::string> texts(const char* key);
-    /// Calls `each` with a reader for every object of a list.
+    /// Calls `each` with a reader for every object in the list under `key`.
     void objects(const char* key, bool required, const std::function<void(field_reader&)>& each);
 
     void fault(const char* key, std::string expected);
-    /// Reports keys that nothing asked for; a misspelt key must not be silently without effect.
+    /// Reports every key that no caller has read, so that a misspelt key is not silently ignored.
     void refuse_unknown();
 
 private:
@@ -35,7 +35,7 @@
     std::string_view text_;
     std::string path_;
     std::vector<record_fault>& faults_;
-    std::set<std::string> asked_;
+    std::set<std::string> read_keys_;
 };
 
 } // namespace hickorypost::records::detail
--- a/modules/records/src/freshness.cpp
+++ b/modules/records/src/freshness.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-constexpr std::size_t max_open_queries = 64;
+constexpr std::size_t max_pending_queries = 64;
 
-/// What nodes hand each other: the log's stamp travels with the command.
+/// A log command with its wall-clock timestamp, as nodes send it to each other.
 struct stamped_command {
     std::int64_t wall_ms = 0;
     std::string command;
@@ -32,7 +32,7 @@
 wire::fresh_query record_replica::make_query(instant now)
 {
     queries_.push_back({next_query_, now});
-    if (queries_.size() > max_open_queries) {
+    if (queries_.size() > max_pending_queries) {
         queries_.pop_front();
     }
     return {next_query_++, state_.index()};
@@ -40,15 +40,15 @@
 
 bool record_replica::take_reply(const wire::fresh_reply& reply)
 {
-    const auto asked = std::find_if(queries_.begin(), queries_.end(),
-                                    [&](const open_query& it) { return it.id == reply.id; });
-    if (asked == queries_.end() || !reply.valid) {
+    const auto pending = std::find_if(queries_.begin(), queries_.end(),
+                                      [&](const pending_query& it) { return it.id == reply.id; });
+    if (pending == queries_.end() || !reply.valid) {
         return false;
     }
-    // The age counts from when we asked, not from when the answer came: an answer that was held up
-    // on the way must not look younger than it is.
-    const instant origin = asked->sent - micros{static_cast<std::int64_t>(reply.age_us)};
-    queries_.erase(asked);
+    // Subtracts the age from the time at which the query was sent, not from the arrival of the
+    // reply: otherwise a delayed reply would make the mark look younger than it is.
+    const instant origin = pending->sent - micros{static_cast<std::int64_t>(reply.age_us)};
+    queries_.erase(pending);
     const std::uint64_t before = state_.index();
     if (!reply.snapshot.empty() && reply.snapshot_index > state_.index()) {
         if (state_.load(reply.snapshot)) {
@@ -61,7 +61,7 @@
             continue;
         }
         if (const auto stamped = wire::try_decode<stamped_command>(it.command)) {
-            keep(it.index, stamped->wall_ms, stamped->command);
+            apply_and_retain(it.index, stamped->wall_ms, stamped->command);
         }
     }
     const bool newer = !mark_origin_ || origin > *mark_origin_;
@@ -69,7 +69,6 @@
         mark_origin_ = origin;
         mark_index_ = std::max(mark_index_, reply.index);
     }
-
     return state_.index() != before;
 }
 
@@ -112,7 +111,8 @@
     return *mark_origin_ + scaled(options_.lease, 1.0 - options_.clock_drift) - now;
 }
 
-void record_replica::keep(std::uint64_t index, std::int64_t wall_ms, std::string_view command)
+void record_replica::apply_and_retain(std::uint64_t index, std::int64_t wall_ms,
+                                      std::string_view command)
 {
     last_result_ = state_.apply_encoded(index, wall_ms, command);
     recent_.push_back({index, wire::encode(stamped_command{wall_ms, std::string{command}})});
@@ -125,7 +125,7 @@
 void record_replica::take_committed(std::uint64_t index, std::int64_t wall_ms,
                                     std::string_view command)
 {
-    keep(index, wall_ms, command);
+    apply_and_retain(index, wall_ms, command);
 }
 
 void record_replica::take_snapshot(std::string_view state)
--- a/modules/records/src/record_parser.cpp
+++ b/modules/records/src/record_parser.cpp
@@ -16,18 +16,18 @@
 constexpr std::int64_t max_price = 1'000'000'000'000;
 constexpr std::size_t sha256_hex_digits = 64;
 
-struct kind_name {
+struct kind_info {
     record_kind kind;
     std::string_view name;
     std::uint64_t newest_schema;
 };
 
-constexpr std::array kinds{kind_name{record_kind::account, "account", 2},
-                           kind_name{record_kind::model, "model", 1},
-                           kind_name{record_kind::service, "service", 1},
-                           kind_name{record_kind::rollout, "rollout", 1},
-                           kind_name{record_kind::withdrawal, "withdrawal", 1},
-                           kind_name{record_kind::cascade, "cascade", 1}};
+constexpr std::array kinds{kind_info{record_kind::account, "account", 2},
+                           kind_info{record_kind::model, "model", 1},
+                           kind_info{record_kind::service, "service", 1},
+                           kind_info{record_kind::rollout, "rollout", 1},
+                           kind_info{record_kind::withdrawal, "withdrawal", 1},
+                           kind_info{record_kind::cascade, "cascade", 1}};
 
 wire::priority read_priority(field_reader& in)
 {
@@ -67,7 +67,7 @@
     out.burst = in.number("burst", out.rate_per_s, 0, 1e9);
     out.enabled = in.flag("enabled", true);
     if (schema == 1) {
-        // Schema 1 knew models without versions; every version was allowed.
+        // Schema 1 lists models without versions and permits all their versions.
         for (auto& it : in.texts("models")) {
             out.allow.push_back({std::move(it), {}});
         }
@@ -177,7 +177,7 @@
     return 1 + static_cast<std::size_t>(std::count(before.begin(), before.end(), '\n'));
 }
 
-leaf::error_id one_fault(std::string_view source, record_fault fault)
+leaf::error_id single_fault_error(std::string_view source, record_fault fault)
 {
     return leaf::new_error(record_error{std::string{source}, {std::move(fault)}});
 }
@@ -236,10 +236,10 @@
     try {
         json = nlohmann::json::parse(document);
     } catch (const nlohmann::json::parse_error& error) {
-        return one_fault(source, {line_at(document, error.byte), {}, "a JSON document"});
+        return single_fault_error(source, {line_at(document, error.byte), {}, "a JSON document"});
     }
     if (!json.is_object()) {
-        return one_fault(source, {1, {}, "a JSON object"});
+        return single_fault_error(source, {1, {}, "a JSON object"});
     }
     std::vector<record_fault> faults;
     field_reader in{json, document, {}, faults};
@@ -257,7 +257,7 @@
     out.kind = *kind;
     out.name = in.text("name", true);
     out.number = static_cast<std::uint64_t>(in.required_integer("number", 1, max_integer));
-    // An unknown schema is refused, never guessed at: its fields may mean something else.
+    // Rejects unknown schema versions, whose fields may have another meaning.
     const auto newest = static_cast<std::int64_t>(newest_schema(out.kind));
     out.schema = static_cast<std::uint64_t>(in.required_integer("schema", 1, newest));
     out.body = read_body(in, out.kind, out.schema);
--- a/modules/records/src/records_state.cpp
+++ b/modules/records/src/records_state.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-/// Answers kept for resent changes. An operator resends within minutes; at 1,700 changes a day this
-/// covers more than five days.
-constexpr std::size_t remembered_changes = 10'000;
+/// Number of results kept to answer resent changes. Operators resend within minutes; at 1,700
+/// changes per day this covers more than five days.
+constexpr std::size_t max_stored_results = 10'000;
 constexpr std::uint32_t saved_format = 1;
 
 std::string key_of(std::string_view kind, std::string_view name)
@@ -24,7 +24,7 @@
     return hash_bytes(change.name, hash_bytes(change.kind, seed ^ change.amends));
 }
 
-struct saved_seen {
+struct saved_result {
     std::string change_id;
     std::uint64_t digest = 0;
     change_result result;
@@ -36,14 +36,14 @@
     std::uint32_t format = saved_format;
     std::uint64_t index = 0;
     std::vector<stored_record> records;
-    std::vector<saved_seen> seen;
+    std::vector<saved_result> seen;
     std::vector<rollout_progress> progress;
 };
 
 change_result records_state::preview(const record_change& change) const
 {
     change_result out;
-    if (const auto seen = seen_.find(change.change_id); seen != seen_.end()) {
+    if (const auto seen = results_.find(change.change_id); seen != results_.end()) {
         if (seen->second.digest == digest_of(change)) {
             return seen->second.result;
         }
@@ -62,8 +62,9 @@
     if (change.amends == 0) {
         out.status = change_status::exists;
     } else if (change.amends != current.number) {
-        // Of operators who race with equal numbers exactly one amends the newest record; the
-        // others would overwrite what they never saw.
+        // Optimistic concurrency control: of several concurrent changes with equal numbers exactly
+        // one amends the newest revision. The others would overwrite a revision that their
+        // operators have not seen.
         out.status =
             change.number <= current.number ? change_status::number_taken : change_status::stale;
     } else if (change.number <= current.number) {
@@ -99,9 +100,9 @@
 change_result records_state::apply_change(std::uint64_t index, std::int64_t wall_ms,
                                           const record_change& change)
 {
-    const bool resent = seen_.contains(change.change_id);
+    const bool is_resend = results_.contains(change.change_id);
     change_result out = preview(change);
-    if (resent) {
+    if (is_resend) {
         return out;
     }
     out.index = index;
@@ -110,46 +111,46 @@
                              change.change_id, change.document, wall_ms};
         out.number = change.number;
         out.winner = change.change_id;
-        adopt(record);
+        index_parsed(record);
         records_[key_of(change.kind, change.name)] = std::move(record);
     }
-    remember(change.change_id, {digest_of(change), out});
+    store_result(change.change_id, {digest_of(change), out});
     return out;
 }
 
 void records_state::apply_progress(std::int64_t wall_ms, rollout_progress progress)
 {
-    // A decision about an older number of the record is void: the operator has amended it since.
+    // Ignores a decision about an older revision: the operator has amended the record since.
     if (progress.number != number_of(record_kind::rollout, progress.rollout)) {
         return;
     }
     auto& known = progress_[progress.rollout];
-    // A halt is final for this number of the record. A completed roll-out may still be halted, when
-    // the new version turns bad later.
-    const bool same = known.number == progress.number;
-    const bool back =
+    // A halt is final for this revision of the record. A completed roll-out can still be halted if
+    // the new version degrades later, but it never returns to running.
+    const bool same_revision = known.number == progress.number;
+    const bool returns_to_running =
         known.state == rollout_state::completed && progress.state == rollout_state::running;
-    if (same && (known.state == rollout_state::halted || back)) {
+    if (same_revision && (known.state == rollout_state::halted || returns_to_running)) {
         return;
     }
     progress.wall_ms = wall_ms;
     known = std::move(progress);
 }
 
-void records_state::remember(const std::string& change_id, seen_change seen)
+void records_state::store_result(const std::string& change_id, processed_change seen)
 {
-    seen_.emplace(change_id, std::move(seen));
-    seen_order_.push_back(change_id);
-    if (seen_order_.size() > remembered_changes) {
-        seen_.erase(seen_order_.front());
-        seen_order_.pop_front();
+    results_.emplace(change_id, std::move(seen));
+    result_order_.push_back(change_id);
+    if (result_order_.size() > max_stored_results) {
+        results_.erase(result_order_.front());
+        result_order_.pop_front();
     }
 }
 
-void records_state::adopt(const stored_record& record)
+void records_state::index_parsed(const stored_record& record)
 {
-    // The leader checked the document before it entered the log. One that this release still cannot
-    // read is left out: what it would allow is then refused, never guessed.
+    // The leader validated the document before appending it to the log. A document that this
+    // release cannot parse is skipped, so that requests which it would allow are refused.
     auto parsed = value_or_handle<record_error>(
         [&]() -> result<std::optional<parsed_record>> {
             BOOST_LEAF_AUTO(it, parse_record(record.document, record.change_id));
@@ -159,7 +160,7 @@
     if (!parsed) {
         return;
     }
-    struct place {
+    struct index_visitor {
         records_state& self;
         void operator()(account_record& it) const
         {
@@ -176,7 +177,7 @@
         void operator()(withdrawal_record& it) const { self.withdrawals_[it.name] = std::move(it); }
         void operator()(cascade_record& it) const { self.cascades_[it.name] = std::move(it); }
     };
-    std::visit(place{*this}, parsed->body);
+    std::visit(index_visitor{*this}, parsed->body);
 }
 
 std::string records_state::save() const
@@ -184,8 +185,8 @@
     saved_state out;
     out.index = index_;
     out.records = list();
-    for (const auto& id : seen_order_) {
-        const auto& it = seen_.at(id);
+    for (const auto& id : result_order_) {
+        const auto& it = results_.at(id);
         out.seen.push_back({id, it.digest, it.result});
     }
     for (const auto& [name, it] : progress_) {
@@ -207,11 +208,11 @@
     *this = records_state{};
     index_ = saved.index;
     for (auto& it : saved.records) {
-        adopt(it);
+        index_parsed(it);
         records_[key_of(it.kind, it.name)] = std::move(it);
     }
     for (auto& it : saved.seen) {
-        remember(it.change_id, {it.digest, it.result});
+        store_result(it.change_id, {it.digest, it.result});
     }
     for (auto& it : saved.progress) {
         progress_[it.rollout] = std::move(it);
@@ -291,8 +292,8 @@
 
 verdict records_state::check(std::string_view account_name, const model_version& mv) const
 {
-    const auto* who = account(account_name);
-    if (who == nullptr) {
+    const auto* found_account = account(account_name);
+    if (found_account == nullptr) {
         return verdict::unknown_account;
     }
     const auto allows = [&](const model_permission& it) {
@@ -300,7 +301,7 @@
                (it.versions.empty() ||
                 std::find(it.versions.begin(), it.versions.end(), mv.version) != it.versions.end());
     };
-    if (std::none_of(who->allow.begin(), who->allow.end(), allows)) {
+    if (std::none_of(found_account->allow.begin(), found_account->allow.end(), allows)) {
         return verdict::not_allowed;
     }
     if (version(mv) == nullptr) {
@@ -311,11 +312,12 @@
 
 verdict records_state::check_service(std::string_view account_name, std::string_view name) const
 {
-    const auto* who = account(account_name);
-    if (who == nullptr) {
+    const auto* found_account = account(account_name);
+    if (found_account == nullptr) {
         return verdict::unknown_account;
     }
-    if (std::find(who->services.begin(), who->services.end(), name) == who->services.end()) {
+    if (std::find(found_account->services.begin(), found_account->services.end(), name) ==
+        found_account->services.end()) {
         return verdict::not_allowed;
     }
     return service(name) == nullptr ? verdict::unknown_version : verdict::allowed;
--- a/modules/records/tests/records_state_test.cpp
+++ b/modules/records/tests/records_state_test.cpp
@@ -21,8 +21,8 @@
     return out;
 }
 
-const std::string two = R"("schema":2,"allow":[{"model":"skills","versions":["1"]}])";
-const std::string one = R"("schema":1,"models":["skills"])";
+const std::string schema_2_fields = R"("schema":2,"allow":[{"model":"skills","versions":["1"]}])";
+const std::string schema_1_fields = R"("schema":1,"models":["skills"])";
 
 std::vector<record_fault> faults_of(const std::string& document)
 {
@@ -43,38 +43,44 @@
 
 BOOST_AUTO_TEST_SUITE(records)
 
-// Two operators saw number 1 and both amend it with number 2. Exactly one may win, and the other
-// must hear whose change it lost to; a resend of either gets its first answer again.
-BOOST_AUTO_TEST_CASE(racing_amendments_have_one_winner_and_resends_agree)
+// Two operators both amend number 1 with number 2. Exactly one change may be accepted,
+// the other result must name the accepted change, and a resend of either must return its first
+// result.
+BOOST_AUTO_TEST_CASE(one_concurrent_amendment_is_accepted_and_resends_return_the_first_result)
 {
     records_state state;
     const auto change = [&](std::uint64_t index, const record_change& it) {
         return state.apply(index, 0, {it, std::nullopt});
     };
-    BOOST_TEST((change(1, account_change(1, 0, "a", two)).status == change_status::accepted));
-    BOOST_TEST((change(2, account_change(2, 1, "b", two)).status == change_status::accepted));
-    const auto lost = change(3, account_change(2, 1, "c", one));
+    BOOST_TEST(
+        (change(1, account_change(1, 0, "a", schema_2_fields)).status == change_status::accepted));
+    BOOST_TEST(
+        (change(2, account_change(2, 1, "b", schema_2_fields)).status == change_status::accepted));
+    const auto lost = change(3, account_change(2, 1, "c", schema_1_fields));
     BOOST_TEST((lost.status == change_status::number_taken));
     BOOST_TEST(lost.winner == "b");
-    BOOST_TEST((change(4, account_change(2, 1, "b", two)).status == change_status::accepted));
-    BOOST_TEST((change(5, account_change(2, 1, "c", one)).status == change_status::number_taken));
-    BOOST_TEST((change(6, account_change(3, 2, "b", two)).status == change_status::id_reused));
+    BOOST_TEST(
+        (change(4, account_change(2, 1, "b", schema_2_fields)).status == change_status::accepted));
+    BOOST_TEST((change(5, account_change(2, 1, "c", schema_1_fields)).status ==
+                change_status::number_taken));
+    BOOST_TEST(
+        (change(6, account_change(3, 2, "b", schema_2_fields)).status == change_status::id_reused));
     BOOST_TEST(state.list().front().change_id == "b");
 }
 
-BOOST_AUTO_TEST_CASE(old_and_new_schemas_live_side_by_side)
+BOOST_AUTO_TEST_CASE(documents_of_old_and_new_schemas_are_both_parsed)
 {
     records_state state;
-    state.apply(1, 0, {account_change(1, 0, "a", one), std::nullopt});
+    state.apply(1, 0, {account_change(1, 0, "a", schema_1_fields), std::nullopt});
     BOOST_TEST(state.account("k")->allow.front().versions.empty());
-    state.apply(2, 0, {account_change(2, 1, "b", two), std::nullopt});
+    state.apply(2, 0, {account_change(2, 1, "b", schema_2_fields), std::nullopt});
     BOOST_TEST(state.account("k")->allow.front().versions.size() == 1U);
     records_state again;
     BOOST_TEST(again.load(state.save()));
     BOOST_TEST(again.save() == state.save());
 }
 
-BOOST_AUTO_TEST_CASE(faults_name_their_place)
+BOOST_AUTO_TEST_CASE(faults_name_line_and_key)
 {
     const auto unknown = faults_of("{\"kind\":\"account\",\n\"name\":\"k\",\"schema\":2,\n"
                                    "\"number\":1,\n\"alow\":[]}");
@@ -86,9 +92,9 @@
     BOOST_TEST(!faults_of("{").empty());
 }
 
-// A mark is held up on the way for longer than the lease. It must not look young on arrival, or a
-// node would start work on records that were amended long ago.
-BOOST_AUTO_TEST_CASE(a_late_mark_gives_no_lease)
+// A reply with a mark is delayed for longer than the lease. If the node counted the mark's age from
+// the arrival, it would start work on outdated records.
+BOOST_AUTO_TEST_CASE(delayed_mark_grants_no_lease)
 {
     record_replica leader{{}};
     record_replica node{{}};
@@ -104,9 +110,9 @@
     BOOST_TEST(!node.fresh(start + millis{1985}));
 }
 
-// A node behind a relay gets a mark whose age has grown on the way: its lease ends when the relay's
-// ends, however many hands it went through.
-BOOST_AUTO_TEST_CASE(a_relayed_mark_ends_with_the_first)
+// A relayed mark includes its age at the relay, so the node's lease must end when the relay's lease
+// ends.
+BOOST_AUTO_TEST_CASE(relayed_mark_expires_with_the_original)
 {
     record_replica leader{{}};
     record_replica relay{{}};
