--- a/modules/membership/include/hickorypost/membership/agent_subset.h
+++ b/modules/membership/include/hickorypost/membership/agent_subset.h
@@ -7,15 +7,17 @@
 
 namespace hickorypost::membership {
 
+/// Limits for `choose_agents`.
 struct subset_options {
     std::size_t max_agents = 64;
-    /// Agents wanted for every version, as far as there are so many.
+    /// Minimum number of agents chosen for each version, if that many exist and `max_agents`
+    /// permits.
     std::size_t per_version = 4;
 };
 
-/// The agents that an entry keeps links to. Deterministic per entry, spread over failure domains,
-/// and stable: an agent that comes or goes moves few links. Keeps an entry's links, and the
-/// messages on them, flat while the fleet grows.
+/// Chooses the agents to which an entry keeps links. The choice is deterministic per entry, spread
+/// over the failure domains, and stable: few links change when an agent joins or leaves. The subset
+/// bounds an entry's links, and the messages on them, as the number of agents grows.
 std::set<node_id> choose_agents(const node_id& entry, const std::vector<wire::agent_info>& agents,
                                 const subset_options& options);
 
--- a/modules/membership/src/agent_subset.cpp
+++ b/modules/membership/src/agent_subset.cpp
@@ -12,13 +12,15 @@
     const wire::agent_info* agent = nullptr;
 };
 
-/// All agents, the failure domains taken in turn, each domain in the entry's own order.
-std::vector<const wire::agent_info*> in_turn(const node_id& entry,
-                                             const std::vector<wire::agent_info>& agents)
+/// Returns all agents, taken from the failure domains in round-robin order. Within a domain, agents
+/// are sorted by their rank for this entry.
+std::vector<const wire::agent_info*> interleave_domains(const node_id& entry,
+                                                        const std::vector<wire::agent_info>& agents)
 {
     std::map<std::string, std::vector<ranked_agent>> domains;
     for (const auto& it : agents) {
-        // Rendezvous hashing: each pair has its own rank, so others' coming and going changes none.
+        // Rendezvous hashing: the rank depends only on the entry and the agent, so it does not
+        // change when other agents join or leave.
         domains[it.failure_domain].push_back({hash_bytes(it.node, hash_bytes(entry)), &it});
     }
     std::size_t longest = 0;
@@ -43,10 +45,10 @@
 std::set<node_id> choose_agents(const node_id& entry, const std::vector<wire::agent_info>& agents,
                                 const subset_options& options)
 {
-    const auto order = in_turn(entry, agents);
+    const auto order = interleave_domains(entry, agents);
     std::set<node_id> out;
     std::map<model_version, std::size_t> covered;
-    const auto take = [&](const wire::agent_info& agent) {
+    const auto add = [&](const wire::agent_info& agent) {
         if (!out.insert(agent.node).second) {
             return;
         }
@@ -56,23 +58,23 @@
             }
         }
     };
-    // First what every version needs, then the rest by turn up to the bound.
+    // First chooses `per_version` agents for each version, then fills up to `max_agents` in order.
     for (const auto* agent : order) {
-        const bool wanted =
+        const bool offers_uncovered_version =
             std::any_of(agent->backends.begin(), agent->backends.end(), [&](const auto& backend) {
                 return std::any_of(
                     backend.offers.begin(), backend.offers.end(),
                     [&](const auto& it) { return covered[it] < options.per_version; });
             });
-        if (wanted && out.size() < options.max_agents) {
-            take(*agent);
+        if (offers_uncovered_version && out.size() < options.max_agents) {
+            add(*agent);
         }
     }
     for (const auto* agent : order) {
         if (out.size() >= options.max_agents) {
             break;
         }
-        take(*agent);
+        add(*agent);
     }
     return out;
 }
--- a/modules/membership/src/directory.cpp
+++ b/modules/membership/src/directory.cpp
@@ -8,12 +8,12 @@
 {
     auto& entry = agents_[agent.node];
     const auto known = std::pair{entry.info.life, entry.info.sequence};
-    // Lives are random, so a restarted agent's may be smaller; any other life replaces the old one,
-    // and within a life the sequence tells a late announcement from the newest.
-    const bool older =
+    // Incarnations are random numbers without an order, so a different incarnation always replaces
+    // the known one. Within an incarnation the sequence identifies outdated announcements.
+    const bool outdated =
         entry.version > 0 && known.first == agent.life && agent.sequence <= known.second;
     entry.lost_at.reset();
-    if (older) {
+    if (outdated) {
         return false;
     }
     entry.info = agent;
@@ -31,7 +31,7 @@
 
 bool directory::expire(instant now)
 {
-    bool any = false;
+    bool removed_any = false;
     for (auto it = agents_.begin(); it != agents_.end();) {
         const auto& entry = it->second;
         if (!entry.lost_at || now < *entry.lost_at + options_.lost_grace) {
@@ -44,9 +44,9 @@
             removals_.pop_front();
         }
         it = agents_.erase(it);
-        any = true;
+        removed_any = true;
     }
-    return any;
+    return removed_any;
 }
 
 wire::directory_reply directory::changes_since(const wire::directory_query& query) const
--- a/modules/membership/tests/membership_test.cpp
+++ b/modules/membership/tests/membership_test.cpp
@@ -30,20 +30,20 @@
 
 BOOST_AUTO_TEST_SUITE(membership)
 
-// An order of a deposed leader was held up and arrives after its successor's, or after the agent's
-// restart. The engine ignores fencing numbers, so the agent must not pass it on.
-BOOST_AUTO_TEST_CASE(orders_of_deposed_leaders_do_not_pass)
+// A delayed order of a deposed leader arrives after an order of the new leader or after the agent's
+// restart. The agent must reject it, because the engine does not check fencing numbers.
+BOOST_AUTO_TEST_CASE(orders_of_deposed_leaders_are_rejected)
 {
-    fence gate{7};
-    BOOST_TEST((gate.admit({{2, 5}, 7}) == order_verdict::pass));
-    BOOST_TEST((gate.admit({{1, 90}, 7}) == order_verdict::stale));
-    BOOST_TEST((gate.admit({{2, 5}, 7}) == order_verdict::pass));
+    fence agent_fence{7};
+    BOOST_TEST((agent_fence.admit({{2, 5}, 7}) == order_verdict::pass));
+    BOOST_TEST((agent_fence.admit({{1, 90}, 7}) == order_verdict::stale));
+    BOOST_TEST((agent_fence.admit({{2, 5}, 7}) == order_verdict::pass));
     fence restarted{8};
     BOOST_TEST((restarted.admit({{2, 5}, 7}) == order_verdict::wrong_life));
     BOOST_TEST((restarted.admit({{3, 1}, 8}) == order_verdict::pass));
 }
 
-BOOST_AUTO_TEST_CASE(readers_get_only_what_changed)
+BOOST_AUTO_TEST_CASE(readers_get_only_changes_since_their_version)
 {
     directory list{{}, 42};
     list.take(agent("a", "d1", "1"));
@@ -62,21 +62,22 @@
     BOOST_TEST(list.changes_since({41, 9}).whole);
 }
 
-// The link of an agent's former life closes after its new life has announced itself.
-BOOST_AUTO_TEST_CASE(a_late_loss_of_the_old_life_is_ignored)
+// The link of an agent's previous incarnation closes after the new incarnation has announced
+// itself. The agent must stay listed.
+BOOST_AUTO_TEST_CASE(delayed_link_loss_of_previous_incarnation_is_ignored)
 {
     directory list{{}, 42};
-    auto reborn = agent("a", "d1", "1");
-    list.take(reborn);
-    reborn.life = 2;
-    list.take(reborn);
+    auto restarted_agent = agent("a", "d1", "1");
+    list.take(restarted_agent);
+    restarted_agent.life = 2;
+    list.take(restarted_agent);
     list.lost("a", 1, start);
     BOOST_TEST(!list.expire(start + millis{60'000}));
 }
 
-// One version of many is served by four agents only. An entry that keeps links to a part of the
-// fleet must still reach it, and the part must lie in all failure domains.
-BOOST_AUTO_TEST_CASE(a_subset_covers_versions_and_domains)
+// One version is served by only four of 300 agents. A subset of 60 agents must include these four,
+// cover all failure domains, and change by at most one agent when an agent leaves.
+BOOST_AUTO_TEST_CASE(agent_subset_covers_versions_and_failure_domains)
 {
     std::vector<wire::agent_info> fleet;
     fleet.reserve(300);
