--- a/modules/wire/include/hickorypost/wire/messages.h
+++ b/modules/wire/include/hickorypost/wire/messages.h
@@ -23,7 +23,7 @@
     read_reply = 14,
     fresh_query = 20,
     fresh_reply = 21,
-    fresh_poke = 22,
+    fresh_notice = 22,
     announce = 30,
     directory_query = 31,
     directory_reply = 32,
@@ -38,7 +38,7 @@
     unknown_attempt = 46,
     settled = 47,
     load = 48,
-    core_note = 60,
+    core_status = 60,
     attach = 61,
     site_query = 62,
     site_update = 63,
@@ -147,8 +147,8 @@
 };
 
 /// Pushed when records change, so that nodes ask at once rather than at their next turn.
-struct fresh_poke {
-    static constexpr auto type = message_type::fresh_poke;
+struct fresh_notice {
+    static constexpr auto type = message_type::fresh_notice;
     std::uint64_t index = 0;
 };
 
@@ -345,8 +345,8 @@
 };
 
 /// What a host with a disk tells the hosts it is linked to, when it changes and now and then.
-struct core_note {
-    static constexpr auto type = message_type::core_note;
+struct core_status {
+    static constexpr auto type = message_type::core_status;
     std::vector<host_info> core; ///< hosts with a disk, as far as the sender knows
     node_id leader;              ///< of the control log; empty: none known
     std::uint64_t term = 0;
--- a/src/control_client.cpp
+++ b/src/control_client.cpp
@@ -204,8 +204,8 @@
             take_fresh(*reply);
         }
         return;
-    case wire::message_type::fresh_poke:
-        if (const auto poke = wire::try_decode<wire::fresh_poke>(body);
+    case wire::message_type::fresh_notice:
+        if (const auto poke = wire::try_decode<wire::fresh_notice>(body);
             poke && poke->index > replica_.state().index()) {
             from.send(replica_.make_query(env_.now()));
         }
--- a/src/control_role.cpp
+++ b/src/control_role.cpp
@@ -322,7 +322,7 @@
     }
     committed_at_[entry.index] = env_.now();
     rollouts_.follow(records().replica().state());
-    const wire::fresh_poke poke{entry.index};
+    const wire::fresh_notice poke{entry.index};
     for (auto* link : links_) {
         if (link->peer().role != wire::node_role::control) {
             link->send(poke);
--- a/src/gateway/control_plane.cpp
+++ b/src/gateway/control_plane.cpp
@@ -301,9 +301,9 @@
     }
 }
 
-wire::core_note control_plane::note() const
+wire::core_status control_plane::note() const
 {
-    wire::core_note out;
+    wire::core_status out;
     for (const auto& [host, domain] : mesh_.core()) {
         out.core.push_back({host, domain});
     }
@@ -333,7 +333,7 @@
     }
 }
 
-void control_plane::handle_note(const node_id& from, const wire::core_note& msg)
+void control_plane::handle_note(const node_id& from, const wire::core_status& msg)
 {
     bool learned = false;
     for (const auto& it : msg.core) {
@@ -388,8 +388,8 @@
             }
         }
         return true;
-    case wire::message_type::core_note:
-        if (const auto it = wire::try_decode<wire::core_note>(body)) {
+    case wire::message_type::core_status:
+        if (const auto it = wire::try_decode<wire::core_status>(body)) {
             handle_note(from, *it);
         }
         return true;
--- a/src/gateway/control_plane.h
+++ b/src/gateway/control_plane.h
@@ -92,8 +92,8 @@
     void adopt(gateway::site_state state);
     void send_notes();
     void send_note(const node_id& to);
-    void handle_note(const node_id& from, const wire::core_note& msg);
-    [[nodiscard]] wire::core_note note() const;
+    void handle_note(const node_id& from, const wire::core_status& msg);
+    [[nodiscard]] wire::core_status note() const;
 
     runtime& env_;
     const gateway_settings& config_;
@@ -120,7 +120,7 @@
 
     node_id leader_;
     std::uint64_t leader_term_ = 0;
-    std::map<node_id, wire::core_note> notes_;
+    std::map<node_id, wire::core_status> notes_;
     std::size_t hosts_told_ = 1;
     instant query_due_;
     std::uint64_t queried_revision_ = 0; ///< the highest that was asked for
