--- a/modules/wire/include/hickorypost/wire/codec.h
+++ b/modules/wire/include/hickorypost/wire/codec.h
@@ -1,8 +1,8 @@
 #pragma once
 /// Binary codec for typed messages: an aggregate becomes a msgpack array of its fields in order.
 ///
-/// Evolution rule: fields are only appended. A decoder leaves missing trailing fields at their
-/// defaults and skips fields that it does not know, so neighbouring releases understand each other.
+/// Schema evolution: new fields are only appended. A decoder leaves missing trailing fields at
+/// their defaults and skips unknown ones, so that successive releases can exchange messages.
 
 #include "hickorypost/base/result.h"
 
@@ -18,7 +18,7 @@
 
 namespace hickorypost::wire {
 
-/// Why bytes could not be read as a message.
+/// Reason why bytes cannot be decoded as a message.
 enum class codec_error { malformed, wrong_type };
 
 std::string_view describe(codec_error error) noexcept;
@@ -42,7 +42,9 @@
     std::string& out_;
 };
 
-/// Reads msgpack values out of bytes that `mp_check` has already accepted as a whole.
+/// Reads msgpack values from bytes that `is_single_value` has accepted, and does not check bounds
+/// within a value. The `get_` functions return false if the next value has another type or is out
+/// of range.
 class reader {
 public:
     explicit reader(std::string_view bytes) noexcept;
@@ -161,18 +163,18 @@
     if (!in.begin_array(n)) {
         return false;
     }
-    std::uint32_t seen = 0;
-    bool good = true;
+    std::uint32_t fields_read = 0;
+    bool ok = true;
     boost::pfr::for_each_field(value, [&](auto& field) {
-        if (good && seen < n) {
-            good = read_value(in, field);
-            ++seen;
+        if (ok && fields_read < n) {
+            ok = read_value(in, field);
+            ++fields_read;
         }
     });
-    for (; good && seen < n; ++seen) {
+    for (; ok && fields_read < n; ++fields_read) {
         in.skip();
     }
-    return good;
+    return ok;
 }
 
 template <class T>
@@ -182,21 +184,21 @@
         return in.get_bool(value);
     } else if constexpr (std::is_enum_v<T>) {
         std::uint64_t raw = 0;
-        const bool good = in.get_unsigned(raw);
+        const bool ok = in.get_unsigned(raw);
         value = static_cast<T>(raw);
-        return good;
+        return ok;
     } else if constexpr (std::is_floating_point_v<T>) {
         return in.get_double(value);
     } else if constexpr (std::is_unsigned_v<T>) {
         std::uint64_t raw = 0;
-        const bool good = in.get_unsigned(raw);
+        const bool ok = in.get_unsigned(raw);
         value = static_cast<T>(raw);
-        return good && value == raw;
+        return ok && value == raw;
     } else if constexpr (std::is_integral_v<T>) {
         std::int64_t raw = 0;
-        const bool good = in.get_signed(raw);
+        const bool ok = in.get_signed(raw);
         value = static_cast<T>(raw);
-        return good && value == raw;
+        return ok && value == raw;
     } else if constexpr (std::is_same_v<T, std::string>) {
         return in.get_string(value);
     } else if constexpr (is_optional<T>::value) {
@@ -214,8 +216,8 @@
     }
 }
 
-/// True when `bytes` is exactly one well-formed msgpack value.
-bool is_one_value(std::string_view bytes) noexcept;
+/// Returns true if `bytes` is exactly one well-formed msgpack value.
+bool is_single_value(std::string_view bytes) noexcept;
 
 } // namespace detail
 
@@ -235,12 +237,13 @@
     return out;
 }
 
-/// Reads one message; the whole of `bytes` must be it. Fails with `codec_error`.
+/// Decodes one message, which must span all of `bytes`. Fails with `codec_error`.
 template <class T>
 result<T> decode(std::string_view bytes)
 {
-    // A hostile or torn frame must not make the codec read past its end: check the whole first.
-    if (!detail::is_one_value(bytes)) {
+    // Validates all of `bytes` first, so that a malicious or truncated message cannot make the
+    // reader read past the end.
+    if (!detail::is_single_value(bytes)) {
         return leaf::new_error(codec_error::malformed);
     }
     detail::reader in{bytes};
@@ -251,12 +254,12 @@
     return message;
 }
 
-/// Like `decode`, for callers that only need to know whether it worked.
+/// Like `decode`, but returns nothing on an error, for callers that do not need the reason.
 template <class T>
 std::optional<T> try_decode(std::string_view bytes)
 {
     std::optional<T> out;
-    if (!detail::is_one_value(bytes)) {
+    if (!detail::is_single_value(bytes)) {
         return out;
     }
     detail::reader in{bytes};
--- a/modules/wire/include/hickorypost/wire/frame.h
+++ b/modules/wire/include/hickorypost/wire/frame.h
@@ -1,7 +1,8 @@
 #pragma once
-/// Framing of messages on a byte stream, without I/O.
+/// Framing of messages on a byte stream. Performs no I/O.
 ///
-/// A frame is a 4-byte big-endian length, a 2-byte message type and the encoded message.
+/// A frame consists of a 4-byte big-endian length, which counts the bytes after it, a 2-byte
+/// big-endian message type and the encoded message.
 
 #include "hickorypost/base/result.h"
 
@@ -12,11 +13,11 @@
 
 namespace hickorypost::wire {
 
-/// The stream cannot be read further; the connection must be closed.
+/// Framing error. The stream cannot be resynchronized, so the connection must be closed.
 enum class frame_error { too_large, too_short };
 
 inline constexpr std::size_t frame_header_bytes = 6;
-/// Longest frame accepted; bounds what one peer can make us hold.
+/// Maximum length of a frame after its length field. Bounds the memory that one peer can occupy.
 inline constexpr std::size_t default_max_frame_bytes = std::size_t{16} << 20U;
 
 struct frame {
@@ -27,14 +28,16 @@
 /// Appends one frame to `out`.
 void append_frame(std::string& out, std::uint16_t type, std::string_view body);
 
-/// Cuts a byte stream into frames.
+/// Splits a byte stream into frames.
 class frame_reader {
 public:
     explicit frame_reader(std::size_t max_frame_bytes = default_max_frame_bytes) noexcept;
 
+    /// Appends bytes received from the stream.
     void push(std::string_view bytes);
 
-    /// The next whole frame, nothing if more bytes are needed; fails with `frame_error`.
+    /// Returns the next complete frame, or nothing if more bytes are needed. Fails with
+    /// `frame_error`.
     result<std::optional<frame>> next();
 
 private:
--- a/modules/wire/include/hickorypost/wire/messages.h
+++ b/modules/wire/include/hickorypost/wire/messages.h
@@ -1,8 +1,9 @@
 #pragma once
-/// Messages between the system's processes. Fields are only ever appended (see codec.h).
+/// Messages between the processes of the system. New fields are only appended (see codec.h).
 ///
-/// Durations are microseconds in `_us` fields and milliseconds in `_ms` fields; ages and remaining
-/// times are sent instead of instants, because monotonic clocks of two hosts cannot be compared.
+/// Durations are in microseconds in `_us` fields and in milliseconds in `_ms` fields. Messages
+/// contain ages and remaining times instead of instants, because the monotonic clocks of two hosts
+/// cannot be compared.
 
 #include "hickorypost/base/ids.h"
 
@@ -60,7 +61,7 @@
 
 enum class node_role : std::uint8_t { entry, agent, control };
 
-/// First message on a link, both ways.
+/// First message on a link, sent in both directions.
 struct hello {
     static constexpr auto type = message_type::hello;
     std::uint32_t oldest = protocol_oldest;
@@ -86,11 +87,11 @@
 
 enum class reply_status : std::uint8_t {
     done,
-    not_leader,  ///< ask `leader`, or another host if it is empty
-    unavailable, ///< no quorum just now; nothing is known of the change's fate
+    not_leader,  ///< retry at `leader`, or at another host if `leader` is empty
+    unavailable, ///< no quorum; the command may or may not be committed
 };
 
-/// Asks a control host to commit a command in a group.
+/// Asks a control host to commit a command to the log of a group.
 struct propose {
     static constexpr auto type = message_type::propose;
     std::uint64_t id = 0;
@@ -106,7 +107,7 @@
     std::string result;
 };
 
-/// A linearizable read answered by a group's leader under its lease.
+/// A linearizable read, answered by the group's leader under its lease.
 struct read_request {
     static constexpr auto type = message_type::read;
     std::uint64_t id = 0;
@@ -122,7 +123,7 @@
     std::string result;
 };
 
-/// Asks for a freshness mark and for the record changes after `have_index`.
+/// Requests a freshness mark and the record changes after `have_index`.
 struct fresh_query {
     static constexpr auto type = message_type::fresh_query;
     std::uint64_t id = 0;
@@ -134,19 +135,20 @@
     std::string command;
 };
 
-/// "`age_us` before this was sent, `index` was the newest committed record change."
+/// States that `index` was the newest committed record change `age_us` before this reply was sent.
 struct fresh_reply {
     static constexpr auto type = message_type::fresh_reply;
     std::uint64_t id = 0;
-    bool valid = false; ///< false: the sender holds no usable mark itself
+    bool valid = false; ///< false: the sender has no valid freshness mark
     std::uint64_t index = 0;
     std::uint64_t age_us = 0;
     std::vector<record_entry> changes;
-    std::string snapshot; ///< encoded records state at `snapshot_index`, when changes are not kept
+    std::string snapshot; ///< encoded records state, if the sender lacks some of the changes
     std::uint64_t snapshot_index = 0;
 };
 
-/// Pushed when records change, so that nodes ask at once rather than at their next turn.
+/// Pushed when records change, so that nodes send a `fresh_query` at once instead of at the next
+/// interval.
 struct fresh_notice {
     static constexpr auto type = message_type::fresh_notice;
     std::uint64_t index = 0;
@@ -154,18 +156,19 @@
 
 enum class backend_kind : std::uint8_t { engine, service };
 
-/// A backend server as it announced itself to its agent.
+/// A backend server, as announced to its agent.
 struct backend_info {
     std::string name;
     backend_kind kind = backend_kind::engine;
     std::vector<model_version>
-        offers;                ///< engines: models served; services: one entry, model = service
-    std::uint32_t slots = 1;   ///< requests that it runs at once
-    bool checks_fence = false; ///< refuses orders with an old fencing number itself
+        offers; ///< engine: the served models; service: one entry with the service as `model`
+    std::uint32_t slots = 1;   ///< maximum number of concurrent requests
+    bool checks_fence = false; ///< rejects orders with an outdated fencing number itself
     bool leaving = false;
 };
 
-/// An agent with its backend servers. A higher (life, sequence) replaces a lower one.
+/// An agent with its backend servers. Another `life` replaces the known one; within the same `life`
+/// a higher `sequence` replaces a lower one.
 struct agent_info {
     node_id node;
     incarnation life = 0;
@@ -184,7 +187,7 @@
 
 struct directory_query {
     static constexpr auto type = message_type::directory_query;
-    std::uint64_t epoch = 0; ///< the control host's life that `version` counts in
+    std::uint64_t epoch = 0; ///< the control host's incarnation that `version` refers to
     std::uint64_t version = 0;
 };
 
@@ -192,32 +195,32 @@
     static constexpr auto type = message_type::directory_reply;
     std::uint64_t epoch = 0;
     std::uint64_t version = 0;
-    bool whole = false; ///< agents not listed are gone
+    bool whole = false; ///< true: `changed` is the complete list; false: only changes
     std::vector<agent_info> changed;
     std::vector<node_id> removed;
 };
 
-/// What an entry saw of one version since its last report, for the roll-out's tests.
+/// An entry's results for one version since its last report, input of the roll-out's tests.
 struct version_evidence {
     model_version version;
     std::uint64_t answers = 0;
     std::uint64_t errors = 0;
-    std::uint64_t slow = 0; ///< answers slower than the record's limit
+    std::uint64_t slow = 0; ///< answers that exceeded the model record's `slow_ms`
     std::uint64_t rated_good = 0;
     std::uint64_t rated_bad = 0;
 };
 
-/// Reports evidence and asks for leave to start more answers on candidate versions.
+/// Reports evidence and requests permission to start more answers on candidate versions.
 struct exposure_request {
     static constexpr auto type = message_type::exposure_request;
-    std::uint64_t sequence = 0; ///< resent evidence carries the same number and counts once
+    std::uint64_t sequence = 0; ///< resent evidence has the same number and is counted once
     std::vector<version_evidence> evidence;
 };
 
 struct exposure_lease {
     model_version version;
-    std::uint64_t answers = 0; ///< how many more answers the entry may start
-    double share = 0;          ///< of the model's traffic that should try the candidate
+    std::uint64_t answers = 0; ///< number of further answers that the entry may start
+    double share = 0;          ///< fraction of the model's traffic for the candidate
 };
 
 struct exposure_grant {
@@ -232,7 +235,7 @@
 struct start {
     static constexpr auto type = message_type::start;
     attempt_id attempt = 0;
-    incarnation agent_life = 0; ///< an agent with another life refuses: it may have run this before
+    incarnation agent_life = 0; ///< another incarnation may have run it, so the agent refuses
     request_key key;
     model_version target;
     std::string backend;
@@ -263,7 +266,7 @@
     cancelled,
 };
 
-/// The attempt did not start and never will.
+/// The attempt has not started and will not start.
 struct refused {
     static constexpr auto type = message_type::refused;
     attempt_id attempt = 0;
@@ -271,14 +274,14 @@
     std::uint64_t retry_after_ms = 0;
 };
 
-/// Bytes of the answer from `offset` on.
+/// A part of the answer that begins at byte `offset`.
 struct piece {
     static constexpr auto type = message_type::piece;
     attempt_id attempt = 0;
     std::uint64_t offset = 0;
     std::string bytes;
-    std::uint32_t http_status = 0; ///< of the backend server's answer
-    std::string content_type;      ///< only where `offset` is 0
+    std::uint32_t http_status = 0; ///< status of the backend server's answer
+    std::string content_type;      ///< only set if `offset` is 0
 };
 
 enum class run_outcome : std::uint8_t { complete, engine_error, cancelled, deadline, lost };
@@ -289,7 +292,7 @@
     std::uint64_t completion_tokens = 0;
 };
 
-/// The attempt ran and is over; `bytes` is the whole answer's length.
+/// The attempt has run and ended; `bytes` is the total length of the answer.
 struct finished {
     static constexpr auto type = message_type::finished;
     attempt_id attempt = 0;
@@ -309,8 +312,8 @@
     attempt_id attempt = 0;
 };
 
-/// After a lost connection: send the answer again from `offset`, or say that the attempt is
-/// unknown.
+/// After a lost connection, asks the agent to resend the answer from `offset` or to reply with
+/// `unknown_attempt`.
 struct resume {
     static constexpr auto type = message_type::resume;
     attempt_id attempt = 0;
@@ -318,14 +321,16 @@
     std::uint64_t offset = 0;
 };
 
-/// The agent never saw the attempt in this life and will refuse it from now on (a tombstone).
+/// The agent has not received the attempt in its current incarnation and will refuse it from now on
+/// (tombstone).
 struct unknown_attempt {
     static constexpr auto type = message_type::unknown_attempt;
     attempt_id attempt = 0;
-    bool same_life = false; ///< true: it surely did not run; false: an earlier life may have run it
+    bool same_life =
+        false; ///< true: the attempt did not run; false: an earlier incarnation may have run it
 };
 
-/// The usage is durable and the answer delivered; the agent may forget the attempt.
+/// The usage is durable and the answer has been delivered, so the agent may discard the attempt.
 struct settled {
     static constexpr auto type = message_type::settled;
     attempt_id attempt = 0;
@@ -338,23 +343,24 @@
     std::uint32_t queued = 0;
 };
 
-/// A gateway host; its name is its IP address, at which others dial it.
+/// A gateway host. Its name is the IP address at which other hosts connect to it.
 struct host_info {
     node_id host;
     std::string failure_domain;
 };
 
-/// What a host with a disk tells the hosts it is linked to, when it changes and now and then.
+/// Status that a host with a disk (a core host) sends to all linked hosts, periodically and when it
+/// changes.
 struct core_status {
     static constexpr auto type = message_type::core_status;
-    std::vector<host_info> core; ///< hosts with a disk, as far as the sender knows
-    node_id leader;              ///< of the control log; empty: none known
+    std::vector<host_info> core; ///< core hosts known to the sender
+    node_id leader;              ///< leader of the control log; empty: unknown
     std::uint64_t term = 0;
-    std::uint64_t revision = 0; ///< of the site's state at the sender
-    std::uint32_t hosts = 0;    ///< gateway hosts that the sender counts
+    std::uint64_t revision = 0; ///< revision of the sender's copy of the site state
+    std::uint32_t hosts = 0;    ///< number of gateway hosts linked to the sender, including itself
 };
 
-/// A host without a disk wants updates from the receiver, or no longer.
+/// A host without a disk subscribes to updates from the receiver (`on`) or unsubscribes.
 struct attach {
     static constexpr auto type = message_type::attach;
     bool on = true;
@@ -365,27 +371,28 @@
     std::uint64_t have_revision = 0;
 };
 
-/// The site's whole committed state.
+/// The complete committed state of the site.
 struct site_update {
     static constexpr auto type = message_type::site_update;
     std::string state;
 };
 
-struct backend_touch {
+struct backend_heartbeat {
     std::string id;
     std::uint64_t sequence = 0;
 };
 
-/// Heartbeats of backend servers that the sender, or a host attached to it, has taken.
+/// Heartbeats of backend servers, received by the sender or by a host that is attached to it.
 struct backend_update {
     static constexpr auto type = message_type::backend_update;
-    std::vector<std::string> records;   ///< encoded, where something changed
-    std::vector<backend_touch> touches; ///< the rest
+    std::vector<std::string> records;       ///< encoded records of backend servers that changed
+    std::vector<backend_heartbeat> touches; ///< heartbeats without a change
 };
 
 enum class order_kind : std::uint8_t { command, read };
 
-/// Asks the control log's leader to commit a command, or for the state that surely is the newest.
+/// Asks the leader of the control log to commit a command or to return the state of a linearizable
+/// read.
 struct order {
     static constexpr auto type = message_type::order;
     std::uint64_t id = 0;
@@ -398,39 +405,42 @@
     std::uint64_t id = 0;
     reply_status status = reply_status::done;
     node_id leader;
-    std::string state; ///< of `read`
+    std::string state; ///< only set for `order_kind::read`
 };
 
 struct backend_load {
     std::string id;
     double requests = 0;
-    double reading_ms = 0; ///< time to read the prompts of requests without a first event
+    double reading_ms = 0; ///< prefill time of the requests that have no first event yet
 };
 
-/// From an attached host: its own work. To it: that of all others together.
+/// Load on backend servers. An attached host reports the load of its own requests and receives the
+/// sum over all other hosts.
 struct load_report {
     static constexpr auto type = message_type::load_report;
     std::vector<backend_load> loads;
-    bool whole = false; ///< there is no work but this; otherwise only what has changed is told
+    bool whole = false; ///< true: the complete load; false: only the changed entries
 };
 
+/// Results of one version of a service, as observed by one host since its last report.
 struct version_row {
     std::string service;
     std::string version;
     std::uint64_t answers = 0;
     std::uint64_t bad = 0;
-    std::uint64_t paced = 0; ///< answers whose pace was seen
-    std::uint64_t slow = 0;  ///< of them, slower than three quarters of the old version's
+    std::uint64_t paced = 0; ///< answers whose output rate was measured
+    std::uint64_t slow = 0;  ///< `paced` answers slower than three quarters of the incumbent's
 };
 
-/// Sessions, by hash, that a host has seen on an old version and that a trial must not move.
+/// Hashes of sessions that a host has observed on the incumbent version; a roll-out must not move
+/// them to the candidate.
 struct session_pins {
     static constexpr auto type = message_type::session_pins;
     std::vector<std::uint64_t> sessions;
 };
 
-/// A backend server has failed a liveness probe in that failure domain, when `sequence` was its
-/// newest known heartbeat.
+/// A backend server failed a liveness probe from a host in `failure_domain` while `sequence` was
+/// its newest known heartbeat.
 struct probe_failure {
     static constexpr auto type = message_type::probe_failure;
     std::string id;
@@ -438,7 +448,7 @@
     std::string failure_domain;
 };
 
-/// A `gateway::crash_fact`, with ages instead of instants.
+/// A `gateway::crash_fact` with an age instead of an instant.
 struct crash_row {
     std::uint8_t kind = 0;
     std::uint64_t outline = 0;
@@ -448,26 +458,26 @@
     std::uint64_t age_ms = 0;
 };
 
-/// What a host has learned about requests that crash backend servers.
+/// A host's observations about requests that crash backend servers.
 struct crash_facts {
     static constexpr auto type = message_type::crash_facts;
     std::vector<crash_row> rows;
 };
 
-/// A backend server has named a limit, as an answer to some host says.
+/// The request limit that a backend server declared in an answer to one of the hosts.
 struct backend_limit {
     static constexpr auto type = message_type::backend_limit;
     std::string id;
-    std::optional<double> per_second; ///< nothing: it names none any more
+    std::optional<double> per_second; ///< requests per second; empty: the limit no longer applies
 };
 
 struct permit_request {
     std::string id;
-    double per_second = 0; ///< the newest limit that the sender knows
+    double per_second = 0; ///< newest limit known to the sender, in requests per second
     std::int32_t priority = 0;
 };
 
-/// Asks the host that grants them for permits to send to limited backend servers.
+/// Requests permits to send to rate-limited backend servers from the host that grants permits.
 struct permit_requests {
     static constexpr auto type = message_type::permit_requests;
     std::vector<permit_request> requests;
@@ -476,7 +486,7 @@
 struct permit_answer {
     std::string id;
     bool granted = false;
-    std::uint64_t room_in_ms = 0;
+    std::uint64_t room_in_ms = 0; ///< expected time until a permit is available, if not `granted`
 };
 
 struct permit_replies {
@@ -484,7 +494,7 @@
     std::vector<permit_answer> replies;
 };
 
-/// What a host saw of versions in a roll-out since its last report; to the leader.
+/// A host's results for the versions in a roll-out since its last report, sent to the leader.
 struct version_report {
     static constexpr auto type = message_type::version_report;
     std::vector<version_row> rows;
--- a/modules/wire/src/codec.cpp
+++ b/modules/wire/src/codec.cpp
@@ -158,7 +158,7 @@
     }
 }
 
-bool is_one_value(std::string_view bytes) noexcept
+bool is_single_value(std::string_view bytes) noexcept
 {
     const char* at = bytes.data();
     const char* end = bytes.data() + bytes.size();
--- a/modules/wire/src/frame.cpp
+++ b/modules/wire/src/frame.cpp
@@ -8,7 +8,8 @@
 
 constexpr std::size_t type_bytes = 2;
 constexpr std::size_t length_bytes = frame_header_bytes - type_bytes;
-/// Consumed bytes are dropped from the buffer only past this, so that small frames cost no moves.
+/// Consumed bytes are erased from the buffer only above this size, so that small frames do not
+/// cause a move of the remaining bytes each time.
 constexpr std::size_t compact_threshold = std::size_t{64} << 10U;
 
 std::uint32_t read_big_endian(std::string_view bytes) noexcept
@@ -48,23 +49,23 @@
 
 result<std::optional<frame>> frame_reader::next()
 {
-    const std::string_view rest = std::string_view{buffer_}.substr(consumed_);
-    if (rest.size() < length_bytes) {
+    const std::string_view unread = std::string_view{buffer_}.substr(consumed_);
+    if (unread.size() < length_bytes) {
         return std::optional<frame>{};
     }
-    const std::size_t length = read_big_endian(rest.substr(0, length_bytes));
+    const std::size_t length = read_big_endian(unread.substr(0, length_bytes));
     if (length > max_frame_bytes_) {
         return leaf::new_error(frame_error::too_large);
     }
     if (length < type_bytes) {
         return leaf::new_error(frame_error::too_short);
     }
-    if (rest.size() < length_bytes + length) {
+    if (unread.size() < length_bytes + length) {
         return std::optional<frame>{};
     }
     frame out;
-    out.type = static_cast<std::uint16_t>(read_big_endian(rest.substr(length_bytes, type_bytes)));
-    out.body = rest.substr(frame_header_bytes, length - type_bytes);
+    out.type = static_cast<std::uint16_t>(read_big_endian(unread.substr(length_bytes, type_bytes)));
+    out.body = unread.substr(frame_header_bytes, length - type_bytes);
     consumed_ += length_bytes + length;
     if (consumed_ == buffer_.size()) {
         buffer_.clear();
--- a/modules/wire/tests/codec_test.cpp
+++ b/modules/wire/tests/codec_test.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-struct old_shape {
+struct old_message {
     std::uint64_t id = 0;
 };
 
-struct new_shape {
+struct new_message {
     std::uint64_t id = 0;
     std::string note = "default";
     std::vector<std::optional<std::int64_t>> items;
@@ -32,36 +32,36 @@
     for (const auto& it : names) {
         agent.backends.push_back({.name = it, .offers = {{it, body}}});
     }
-    const auto back = wire::try_decode<wire::agent_info>(wire::encode(agent));
-    RC_ASSERT(back.has_value());
-    RC_ASSERT(wire::encode(*back) == wire::encode(agent));
+    const auto restored = wire::try_decode<wire::agent_info>(wire::encode(agent));
+    RC_ASSERT(restored.has_value());
+    RC_ASSERT(wire::encode(*restored) == wire::encode(agent));
 }
 
-RC_BOOST_PROP(hostile_bytes_are_refused_not_misread, (const std::string& bytes))
+RC_BOOST_PROP(malformed_bytes_are_rejected, (const std::string& bytes))
 {
-    const auto got = wire::try_decode<wire::start>(bytes);
-    RC_ASSERT(!got || wire::detail::is_one_value(bytes));
+    const auto decoded = wire::try_decode<wire::start>(bytes);
+    RC_ASSERT(!decoded || wire::detail::is_single_value(bytes));
 }
 
-RC_BOOST_PROP(torn_messages_are_refused, (const std::string& body))
+RC_BOOST_PROP(truncated_messages_are_rejected, (const std::string& body))
 {
-    const std::string whole = wire::encode(wire::piece{1, 2, body});
-    for (std::size_t n = 0; n < whole.size(); ++n) {
-        RC_ASSERT(!wire::try_decode<wire::piece>(std::string_view{whole}.substr(0, n)));
+    const std::string encoded = wire::encode(wire::piece{1, 2, body});
+    for (std::size_t n = 0; n < encoded.size(); ++n) {
+        RC_ASSERT(!wire::try_decode<wire::piece>(std::string_view{encoded}.substr(0, n)));
     }
 }
 
-BOOST_AUTO_TEST_CASE(older_reader_skips_new_fields)
+BOOST_AUTO_TEST_CASE(older_decoder_skips_unknown_fields)
 {
-    const auto bytes = wire::encode(new_shape{7, "x", {std::nullopt, -3}});
-    BOOST_TEST(wire::try_decode<old_shape>(bytes)->id == 7U);
+    const auto bytes = wire::encode(new_message{7, "x", {std::nullopt, -3}});
+    BOOST_TEST(wire::try_decode<old_message>(bytes)->id == 7U);
 }
 
-BOOST_AUTO_TEST_CASE(newer_reader_keeps_defaults_of_missing_fields)
+BOOST_AUTO_TEST_CASE(newer_decoder_keeps_defaults_of_missing_fields)
 {
-    const auto back = wire::try_decode<new_shape>(wire::encode(old_shape{7}));
-    BOOST_TEST(back->id == 7U);
-    BOOST_TEST(back->note == "default");
+    const auto restored = wire::try_decode<new_message>(wire::encode(old_message{7}));
+    BOOST_TEST(restored->id == 7U);
+    BOOST_TEST(restored->note == "default");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
