--- a/modules/base/include/hickorypost/base/ids.h
+++ b/modules/base/include/hickorypost/base/ids.h
@@ -1,5 +1,5 @@
 #pragma once
-/// Identities shared by all parts.
+/// Identifiers shared by all modules.
 
 #include <compare>
 #include <cstdint>
@@ -9,14 +9,15 @@
 
 namespace hickorypost {
 
-/// Name of a process of the system, unique by its settings.
+/// Name of a process of the system. The configuration must make it unique.
 using node_id = std::string;
-/// Drawn anew at each start of a process; tells a restarted process from its former self.
+/// Random number drawn at each start of a process; distinguishes a restarted process from its
+/// previous run.
 using incarnation = std::uint64_t;
-/// One try of a request at one backend server; drawn at random by the entry.
+/// Identifies one attempt to run a request on one backend server; drawn at random by the entry.
 using attempt_id = std::uint64_t;
 
-/// Names a request: the client account and its idempotency key.
+/// Identifies a request by its client account and idempotency key.
 struct request_key {
     std::string account;
     std::string request;
@@ -25,7 +26,7 @@
     friend bool operator==(const request_key&, const request_key&) = default;
 };
 
-/// A model with one of its versions.
+/// A version of a model.
 struct model_version {
     std::string model;
     std::string version;
@@ -37,10 +38,10 @@
 /// 64-bit XXH3 of the bytes; stable across hosts and releases.
 std::uint64_t hash_bytes(std::string_view bytes, std::uint64_t seed = 0) noexcept;
 
-/// Hash that places a request in a ledger group; stable across hosts and releases.
+/// Hash that assigns a request to a ledger group; stable across hosts and releases.
 std::uint64_t hash_key(const request_key& key) noexcept;
 
-/// 32 lower-case hex digits, for request and trace identities.
+/// Returns 32 random lower-case hex digits (128 bits), for request and trace ids.
 std::string random_hex(const std::function<std::uint64_t()>& random);
 
 struct request_key_hash {
--- a/modules/base/include/hickorypost/base/packing.h
+++ b/modules/base/include/hickorypost/base/packing.h
@@ -1,5 +1,5 @@
 #pragma once
-/// Lossless packing of large texts for the network, the log and the disk.
+/// Lossless compression of large texts for the network, the log and the disk.
 
 #include <cstddef>
 #include <optional>
@@ -8,11 +8,12 @@
 
 namespace hickorypost {
 
-/// Compresses `text` with zstd at its fastest regular level.
+/// Compresses `text` with zstd at level 1, its fastest regular level. Returns `text` unchanged if
+/// zstd fails, which `unpack` accepts as well.
 std::string pack(std::string_view text);
 
-/// Reverses `pack`. Returns bytes that were never packed as they are, so that older logs stay
-/// readable, and nothing if the bytes are damaged or unpack to more than `limit`.
+/// Reverses `pack`. Returns uncompressed input unchanged, so that older logs stay readable. Returns
+/// nothing if the data is corrupt or its decompressed size exceeds `limit` bytes.
 std::optional<std::string> unpack(std::string_view packed,
                                   std::size_t limit = std::size_t{64} << 20U);
 
--- a/modules/base/include/hickorypost/base/result.h
+++ b/modules/base/include/hickorypost/base/result.h
@@ -1,6 +1,6 @@
 #pragma once
-/// Errors travel as Boost.LEAF results; each layer has its own error type and turns those from
-/// below.
+/// Errors are returned as Boost.LEAF results. Each layer has its own error type and translates the
+/// errors of lower layers.
 
 #include <boost/leaf.hpp>
 #include <string>
@@ -13,8 +13,9 @@
 template <class T>
 using result = leaf::result<T>;
 
-/// Runs `body` (returning `result<T>`) and gives its value, or what `on_error(E)` makes of an error
-/// of type `E`. Errors of other types end the program: a layer must not leak another's errors.
+/// Calls `body`, which returns `result<T>`, and returns its value, or `on_error(error)` for an
+/// error of type `E`. Any other error type terminates the process: a layer must not leak the errors
+/// of another layer.
 template <class E, class Body, class OnError>
 auto value_or_handle(Body&& body, OnError&& on_error)
 {
--- a/modules/base/include/hickorypost/base/time.h
+++ b/modules/base/include/hickorypost/base/time.h
@@ -1,6 +1,6 @@
 #pragma once
-/// Time as the decision parts see it: a monotonic instant handed in by the caller, never read
-/// inside.
+/// Time types for the modules without I/O, which get the current monotonic time from the caller and
+/// never read a clock themselves.
 
 #include <chrono>
 #include <cstdint>
@@ -8,7 +8,8 @@
 
 namespace hickorypost {
 
-/// A monotonic clock with microsecond steps; it has no `now()` because parts get time by parameter.
+/// A monotonic clock with microsecond resolution. It has no `now()`, because modules get the time
+/// as a parameter.
 struct monotonic_clock {
     using rep = std::int64_t;
     using period = std::micro;
@@ -21,24 +22,26 @@
 using micros = monotonic_clock::duration;
 using millis = std::chrono::duration<std::int64_t, std::milli>;
 
-/// Hooks through which time and randomness reach the parts.
+/// Callbacks that supply monotonic time and random numbers.
 using clock_fn = std::function<instant()>;
 using random_fn = std::function<std::uint64_t()>;
-/// Milliseconds since the Unix epoch; used for stamps that people read, never for leases.
+/// Returns milliseconds since the Unix epoch. For human-readable timestamps only, never for leases.
 using wall_clock_fn = std::function<std::int64_t()>;
 
-/// The process's own clocks and random source, for use by roles only.
+/// The clocks and the random source of the process. Only the process roles use them; modules get
+/// them as parameters. This clock stops while the machine is suspended.
 clock_fn system_clock_fn();
-/// Like the monotonic clock, but it goes on while the machine is suspended. For what is timed
-/// against other hosts: a lease must not seem valid after a sleep that outlasted it.
+/// Like `system_clock_fn`, but the clock continues while the machine is suspended (CLOCK_BOOTTIME).
+/// For deadlines shared with other hosts: a lease that expired during a suspend must not look
+/// valid.
 clock_fn boot_clock_fn();
 wall_clock_fn system_wall_clock_fn();
 random_fn system_random_fn();
 
-/// A deterministic source for tests and experiments.
+/// A deterministic random source for tests and simulations.
 random_fn seeded_random_fn(std::uint64_t seed);
 
-/// Uniform in [0, 1) from a random hook.
+/// Returns a number that is uniformly distributed in [0, 1).
 double unit_random(const random_fn& random);
 
 constexpr std::int64_t to_millis(micros d) noexcept
--- a/modules/base/src/packing.cpp
+++ b/modules/base/src/packing.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-constexpr int pack_level = 1;
-/// The first bytes of every packed text (little-endian ZSTD_MAGICNUMBER). No text that is packed
-/// here, which is JSON, begins with them.
-constexpr std::string_view packed_mark{"\x28\xb5\x2f\xfd", 4};
+constexpr int compression_level = 1;
+/// First bytes of every zstd frame (little-endian ZSTD_MAGICNUMBER). The texts passed to `pack` are
+/// JSON, which never begins with these bytes.
+constexpr std::string_view zstd_magic{"\x28\xb5\x2f\xfd", 4};
 
 } // namespace
 
@@ -17,9 +17,9 @@
 {
     std::string out(ZSTD_compressBound(text.size()), '\0');
     const std::size_t n =
-        ZSTD_compress(out.data(), out.size(), text.data(), text.size(), pack_level);
+        ZSTD_compress(out.data(), out.size(), text.data(), text.size(), compression_level);
     if (ZSTD_isError(n) != 0) {
-        return std::string{text}; // only for lack of memory; it is readable unpacked as well
+        return std::string{text}; // only if out of memory; `unpack` accepts plain text
     }
     out.resize(n);
     return out;
@@ -27,7 +27,7 @@
 
 std::optional<std::string> unpack(std::string_view packed, std::size_t limit)
 {
-    if (!packed.starts_with(packed_mark)) {
+    if (!packed.starts_with(zstd_magic)) {
         return std::string{packed};
     }
     const auto size = ZSTD_getFrameContentSize(packed.data(), packed.size());
--- a/modules/base/src/time.cpp
+++ b/modules/base/src/time.cpp
@@ -9,8 +9,8 @@
 clock_fn system_clock_fn()
 {
     return [] {
-        const auto since = std::chrono::steady_clock::now().time_since_epoch();
-        return instant{std::chrono::duration_cast<micros>(since)};
+        const auto since_boot = std::chrono::steady_clock::now().time_since_epoch();
+        return instant{std::chrono::duration_cast<micros>(since_boot)};
     };
 }
 
@@ -27,8 +27,8 @@
 wall_clock_fn system_wall_clock_fn()
 {
     return [] {
-        const auto since = std::chrono::system_clock::now().time_since_epoch();
-        return std::chrono::duration_cast<millis>(since).count();
+        const auto since_epoch = std::chrono::system_clock::now().time_since_epoch();
+        return std::chrono::duration_cast<millis>(since_epoch).count();
     };
 }
 
@@ -47,8 +47,7 @@
 
 double unit_random(const random_fn& random)
 {
-    constexpr double scale =
-        1.0 / 9007199254740992.0; // 2^53: the doubles below 1 that are evenly spaced
+    constexpr double scale = 1.0 / 9007199254740992.0; // 2^-53, the spacing of the results
     return static_cast<double>(random() >> 11U) * scale;
 }
 
--- a/modules/base/tests/packing_test.cpp
+++ b/modules/base/tests/packing_test.cpp
@@ -19,7 +19,7 @@
 
 BOOST_AUTO_TEST_SUITE(packing)
 
-BOOST_AUTO_TEST_CASE(a_text_comes_back_byte_for_byte_and_travels_small)
+BOOST_AUTO_TEST_CASE(packed_text_is_smaller_and_unpacks_to_the_same_bytes)
 {
     const std::string text = long_text();
     const std::string packed = pack(text);
@@ -28,12 +28,12 @@
     BOOST_TEST((unpack(pack("")) == ""));
 }
 
-BOOST_AUTO_TEST_CASE(a_text_that_was_never_packed_is_read_as_it_is)
+BOOST_AUTO_TEST_CASE(uncompressed_text_is_returned_unchanged)
 {
     BOOST_TEST((unpack("{\"Version\":7}") == "{\"Version\":7}"));
 }
 
-BOOST_AUTO_TEST_CASE(damaged_or_oversized_bytes_give_nothing)
+BOOST_AUTO_TEST_CASE(corrupt_or_oversized_input_is_rejected)
 {
     const std::string packed = pack(long_text());
     BOOST_TEST(!unpack(packed.substr(0, packed.size() / 2)));
