--- a/modules/base/src/time.cpp
+++ b/modules/base/src/time.cpp
@@ -47,7 +47,8 @@
 
 double unit_random(const random_fn& random)
 {
-    constexpr double scale = 1.0 / 9007199254740992.0; // 2^-53, the spacing of the results
+    constexpr double scale =
+        1.0 / 9007199254740992.0; // 2^-53: the results are evenly spaced and below 1
     return static_cast<double>(random() >> 11U) * scale;
 }
 
--- a/modules/wire/include/hickorypost/wire/messages.h
+++ b/modules/wire/include/hickorypost/wire/messages.h
@@ -428,8 +428,8 @@
     std::string version;
     std::uint64_t answers = 0;
     std::uint64_t bad = 0;
-    std::uint64_t paced = 0; ///< answers whose output rate was measured
-    std::uint64_t slow = 0;  ///< `paced` answers slower than three quarters of the incumbent's
+    std::uint64_t paced = 0; ///< answers whose latency was compared
+    std::uint64_t slow = 0;  ///< of `paced`: slower than three quarters of the incumbent's
 };
 
 /// Hashes of sessions that a host has observed on the incumbent version; a roll-out must not move
