--- a/tests/process/deployment.cpp
+++ b/tests/process/deployment.cpp
@@ -306,7 +306,7 @@
     return {};
 }
 
-bool deployment::control_whole()
+bool deployment::control_is_fully_replicated()
 {
     std::map<std::size_t, std::size_t> leaders;
     std::map<std::size_t, std::set<std::uint64_t>> commits;
@@ -365,10 +365,10 @@
     return engine_ports_[engine];
 }
 
-void deployment::lose_agent_connections()
+void deployment::stall_agent_connections()
 {
     for (const auto& it : relays_) {
-        it->lose_open_connections();
+        it->stall_open_connections();
     }
 }
 
--- a/tests/process/deployment.h
+++ b/tests/process/deployment.h
@@ -12,14 +12,15 @@
 
 namespace hickorypost::testing {
 
-/// Waits for a condition, at most so long that a loaded machine gets there; false if it does not.
+/// Polls `condition` until it holds. Returns false after `limit`, whose default leaves time for a
+/// heavily loaded machine.
 bool eventually(const std::function<bool()>& condition,
                 std::chrono::milliseconds limit = std::chrono::milliseconds{40'000});
 
-/// Ports that were free a moment ago, each found by binding port 0.
+/// Finds `n` free ports by binding port 0. Another process may take them before they are used.
 std::vector<std::uint16_t> free_ports(std::size_t n);
 
-/// A child process with its output in a file.
+/// A child process whose output is redirected to a file.
 class child {
 public:
     child(std::vector<std::string> command, const std::filesystem::path& output);
@@ -28,10 +29,10 @@
     child& operator=(const child&) = delete;
 
     void signal(int number) const;
-    /// Waits for its end; its exit code, or nothing within the limit.
+    /// Waits for the process to exit. Returns its exit code, or nullopt after `limit`.
     std::optional<int> wait(std::chrono::milliseconds limit);
     void kill();
-    /// Descriptors that the process holds open.
+    /// Number of file descriptors that the process has open.
     [[nodiscard]] std::size_t open_descriptors() const;
 
 private:
@@ -39,16 +40,16 @@
     std::optional<int> code_;
 };
 
-/// What a relay does to the connections that it forwards, open and new ones.
+/// Fault that a relay injects into its connections, both open and new ones.
 enum class relay_fault : std::uint8_t {
     none,
-    delay,    ///< each turn takes 60 ms longer
-    one_way,  ///< nothing comes back any more; what is sent arrives
-    silence,  ///< nothing arrives, and nothing is closed
-    reset_all ///< open connections are closed once; new ones work
+    delay,    ///< each polling round takes 60 ms longer
+    one_way,  ///< forwards requests but no responses
+    silence,  ///< forwards nothing in either direction and closes nothing
+    reset_all ///< closes the open connections once; new ones work
 };
 
-/// Forwards connections to a port; can lose track of those that are open while new ones work.
+/// A TCP proxy to a local port that injects connection faults.
 class relay {
 public:
     relay(std::uint16_t listen, std::uint16_t to);
@@ -56,9 +57,10 @@
     relay(const relay&) = delete;
     relay& operator=(const relay&) = delete;
 
-    /// From now on the open connections deliver nothing more, without being closed.
-    void lose_open_connections();
-    /// From now on; what was held back is delivered when the fault ends.
+    /// Stops forwarding on the connections that are open now, without closing them. New ones work.
+    void stall_open_connections();
+    /// Sets the fault until the next call; `reset_all` applies once. Data held back by a fault is
+    /// delivered when it ends.
     void set_fault(relay_fault fault);
 
 private:
@@ -66,7 +68,7 @@
     std::unique_ptr<state> state_;
 };
 
-/// Three control hosts, two entries, two agents with a stand-in engine each, as real processes.
+/// Three control hosts, two entries and two agents with a fake engine each, as real processes.
 class deployment {
 public:
     explicit deployment(bool relayed_agents = false);
@@ -74,7 +76,8 @@
     deployment(const deployment&) = delete;
     deployment& operator=(const deployment&) = delete;
 
-    /// Starts all, submits the records, and waits until both entries are ready.
+    /// Starts all processes, submits the records and waits until both entries are ready. Returns
+    /// false on timeout.
     bool start();
     void start_node(const std::string& name);
     child& node(const std::string& name) { return *children_.at(name); }
@@ -85,23 +88,25 @@
     std::unique_ptr<http_client> begin_chat(std::size_t entry, const std::string& model,
                                             unsigned tokens, const std::string& key = {},
                                             bool non_idempotent = false);
-    /// Runs the command line; its exit code and output.
+    /// Runs the command-line client. Returns its exit code and output.
     std::pair<int, std::string> command(std::vector<std::string> args);
     std::unique_ptr<child> start_command(std::vector<std::string> args, const std::string& name);
     void write_file(const std::string& name, const std::string& text);
     [[nodiscard]] std::string path(const std::string& name) const { return (run_ / name).string(); }
 
-    /// Name of the control host that leads the group, empty if none does.
+    /// Name of the control host that leads replication group `group`; empty if it has no leader.
     std::string leader(std::size_t group);
-    /// Every control host runs, votes in every group, and has all that the group's leader has.
-    bool control_whole();
-    /// Times that engines started work on a request; empty key: on a version.
+    /// Whether every control host runs, votes in every group and has all entries of its leader's
+    /// log.
+    bool control_is_fully_replicated();
+    /// Number of times that engines started a request with this idempotency key.
     [[nodiscard]] std::size_t starts_of(const std::string& key) const;
+    /// Number of times that engines started a request on this version.
     [[nodiscard]] std::size_t starts_on_version(const std::string& version) const;
     std::size_t reported_requests();
     [[nodiscard]] std::uint16_t entry_port(std::size_t entry) const { return entry_ports_[entry]; }
     [[nodiscard]] std::uint16_t engine_control_port(std::size_t engine) const;
-    void lose_agent_connections();
+    void stall_agent_connections();
     void wipe_data(const std::string& control) const;
 
 private:
--- a/tests/process/http_client.h
+++ b/tests/process/http_client.h
@@ -10,11 +10,11 @@
 struct http_reply {
     int status = 0;     ///< 0: no answer
     std::string head;   ///< header lines
-    std::string body;   ///< without chunk framing
-    bool whole = false; ///< the message's own framing says that nothing is missing
+    std::string body;   ///< with chunked encoding removed
+    bool whole = false; ///< the message is complete by its own framing
 };
 
-/// A plain HTTP/1.1 request over one connection of its own, with a bounded wait.
+/// Sends one HTTP/1.1 request on a new connection and reads its response with time limits.
 class http_client {
 public:
     http_client(std::uint16_t port, const std::string& method, const std::string& path,
@@ -23,11 +23,12 @@
     http_client(const http_client&) = delete;
     http_client& operator=(const http_client&) = delete;
 
-    /// Reads until the body holds `text`, the message is whole, or the time is over.
+    /// Reads until the received bytes contain `text`, the message is complete or `limit` has
+    /// passed. Returns whether they contain `text`.
     bool read_until(const std::string& text, std::chrono::milliseconds limit);
-    /// The rest of the message, as far as it comes within the limit.
+    /// Reads the rest of the message, for at most `limit`.
     http_reply finish(std::chrono::milliseconds limit);
-    /// Hangs up, as a caller that has gone away.
+    /// Closes the connection, as a caller that disconnects early.
     void hang_up();
 
 private:
--- a/tests/process/process_test.cpp
+++ b/tests/process/process_test.cpp
@@ -1,5 +1,5 @@
-/// The smaller fault matrix with the real processes: signals, lost disks, lost connections,
-/// operators racing through the command line. All waits are bounded waits on conditions.
+/// End-to-end tests with real processes under faults: signals, lost disks, lost connections and
+/// concurrent operators. Every wait polls a condition with a time limit.
 
 #include "deployment.h"
 
@@ -13,7 +13,7 @@
 
 constexpr milliseconds stream_limit{30'000};
 
-bool whole_answer(const http_reply& reply)
+bool is_complete_answer(const http_reply& reply)
 {
     return reply.status == 200 && reply.whole &&
            reply.body.find("data: [DONE]") != std::string::npos;
@@ -32,8 +32,8 @@
 
 BOOST_AUTO_TEST_SUITE(process)
 
-// The leader of the ledger group is killed while answers are on their way. Callers see whole
-// answers, a little late; each is in the report once.
+// Guards against lost or duplicated billing when the leader of the ledger group is killed while
+// answers are streaming: callers get complete answers, and each is in the report once.
 BOOST_AUTO_TEST_CASE(killed_ledger_leader_loses_no_bill)
 {
     deployment it;
@@ -48,13 +48,13 @@
     BOOST_REQUIRE(eventually([&] { return !(leader = it.leader(1)).empty(); }));
     it.node(leader).kill();
     for (const auto& answer : open) {
-        BOOST_TEST(whole_answer(answer->finish(stream_limit)));
+        BOOST_TEST(is_complete_answer(answer->finish(stream_limit)));
     }
     BOOST_TEST(eventually([&] { return it.reported_requests() == before + open.size(); }));
 }
 
-// An entry is killed while it relays the answer to a non-idempotent request. The caller sends it
-// again through the other entry and gets the first run's answer; the engine never starts twice.
+// Guards against running a non-idempotent request twice when an entry is killed while it relays the
+// answer: a retry through the other entry gets the answer of the first run.
 BOOST_AUTO_TEST_CASE(resend_through_another_entry_never_runs_twice)
 {
     deployment it;
@@ -62,9 +62,9 @@
     const auto first = it.begin_chat(0, "skills@2", 200, "plan-1", true);
     BOOST_REQUIRE(first->read_until("v2", stream_limit));
     it.node("e1").kill();
-    BOOST_TEST(!whole_answer(first->finish(stream_limit)));
+    BOOST_TEST(!is_complete_answer(first->finish(stream_limit)));
     const auto second = it.begin_chat(1, "skills@2", 200, "plan-1", true)->finish(stream_limit);
-    BOOST_TEST(whole_answer(second));
+    BOOST_TEST(is_complete_answer(second));
     BOOST_TEST(count_of(second.body, "v2 ") == 200U);
     BOOST_TEST(it.starts_of("plan-1") == 1U);
     const auto third = it.chat(1, "skills@2", "plan-1", true);
@@ -72,8 +72,8 @@
     BOOST_TEST(it.starts_of("plan-1") == 1U);
 }
 
-// The agent of a version is stopped (SIGSTOP), the version is withdrawn meanwhile, and the agent
-// goes on with old records. Its lease has run out: it must not start anything on them.
+// Guards against an agent that starts requests on stale records: it is stopped with SIGSTOP while
+// its version is withdrawn. Its lease has expired when it resumes, so it must start nothing.
 BOOST_AUTO_TEST_CASE(frozen_agent_wakes_to_a_withdrawal)
 {
     deployment it;
@@ -94,15 +94,15 @@
     it.node("a1").signal(SIGCONT);
     for (const auto& answer : waiting) {
         const auto reply = answer->finish(stream_limit);
-        BOOST_TEST(!whole_answer(reply));
+        BOOST_TEST(!is_complete_answer(reply));
         BOOST_TEST(reply.body.find("outcome") != std::string::npos);
     }
     BOOST_TEST(it.chat(0, "skills@1").status != 200);
     BOOST_TEST(it.starts_on_version("1") == before);
 }
 
-// A control host's disk is lost and replaced; once it votes again, another host is lost for good.
-// Records, report and new requests go on from the two that are left.
+// Guards against losing records or the report when one control host loses its disk, is replaced and
+// votes again, and then another host is lost. The two remaining hosts must also serve new requests.
 BOOST_AUTO_TEST_CASE(second_host_lost_after_a_repair)
 {
     deployment it;
@@ -111,31 +111,32 @@
     it.node("c2").kill();
     it.wipe_data("c2");
     it.start_node("c2");
-    BOOST_REQUIRE(eventually([&] { return it.control_whole(); }));
+    BOOST_REQUIRE(eventually([&] { return it.control_is_fully_replicated(); }));
     it.node("c3").kill();
     BOOST_TEST(eventually([&] { return it.reported_requests() >= before && before > 0; }),
                it.command({"status"}).second);
-    BOOST_TEST(eventually([&] { return whole_answer(it.chat(0, "skills@1")); }),
+    BOOST_TEST(eventually([&] { return is_complete_answer(it.chat(0, "skills@1")); }),
                it.command({"status"}).second);
     BOOST_TEST(it.command({"records"}).second.find("kuzgun") != std::string::npos);
 }
 
-// Something between entries and agents forgets the open connections; new ones work. A stream that
-// was under way goes on over a new connection and ends whole, with nothing doubled or missing.
+// Guards against streams that hang when a middlebox drops the state of open connections without
+// closing them: the stream resumes on a new connection, with nothing duplicated or missing.
 BOOST_AUTO_TEST_CASE(silent_connections_are_replaced)
 {
     deployment it{true};
     BOOST_REQUIRE(it.start());
     const auto answer = it.begin_chat(0, "skills@2", 300, "long", true);
     BOOST_REQUIRE(answer->read_until("v2", stream_limit));
-    it.lose_agent_connections();
+    it.stall_agent_connections();
     const auto reply = answer->finish(stream_limit);
-    BOOST_TEST(whole_answer(reply));
+    BOOST_TEST(is_complete_answer(reply));
     BOOST_TEST(count_of(reply.body, "v2 ") == 300U);
     BOOST_TEST(it.starts_of("long") == 1U);
 }
 
-// Eight operators amend the same record at once with the same number and other contents.
+// Guards against more than one accepted amendment when eight operators concurrently amend the same
+// record with the same number and different contents.
 BOOST_AUTO_TEST_CASE(operators_racing_have_one_winner)
 {
     deployment it;
@@ -161,8 +162,8 @@
     BOOST_TEST(winners == 1U);
 }
 
-// An entry and an agent are told to stop (SIGTERM) with answers under way: readiness goes off at
-// once, every answer ends whole, and only then do the processes end.
+// Guards against truncated answers on SIGTERM to an entry and an agent: readiness fails at once,
+// all answers complete, and only then do the processes exit.
 BOOST_AUTO_TEST_CASE(graceful_shutdown_cuts_nothing)
 {
     deployment it;
@@ -180,7 +181,7 @@
                           milliseconds{900}));
     for (const auto& answer : open) {
         const auto reply = answer->finish(stream_limit);
-        BOOST_TEST(whole_answer(reply),
+        BOOST_TEST(is_complete_answer(reply),
                    "status " << reply.status << ", ends: "
                              << reply.body.substr(reply.body.size() -
                                                   std::min<std::size_t>(reply.body.size(), 200)));
@@ -189,8 +190,8 @@
     BOOST_TEST(it.node("a1").wait(stream_limit).value_or(-1) == 0);
 }
 
-// A caller hangs up in the middle of a long answer. The engine's work is cancelled and what ran is
-// billed once, as cancelled.
+// Guards against wrong billing when a caller disconnects during a long answer: the engine's work is
+// cancelled, and the tokens produced are billed once, with outcome cancelled.
 BOOST_AUTO_TEST_CASE(caller_that_leaves_is_billed_for_what_ran)
 {
     deployment it;
@@ -213,21 +214,21 @@
     }));
 }
 
-// A hundred answers, one after the other. Were a connection left open by each, an agent would run
-// out of descriptors within a thousand requests and fail every later one.
+// Guards against leaking a connection to the engine per request: an agent would run out of file
+// descriptors within 1000 requests and fail every later one.
 BOOST_AUTO_TEST_CASE(connections_to_engines_are_reused)
 {
     deployment it;
     BOOST_REQUIRE(it.start());
     const std::size_t before = it.node("a1").open_descriptors();
     for (int n = 0; n < 100; ++n) {
-        BOOST_TEST(whole_answer(it.chat(0, "skills@1", {}, n % 4 == 0)));
+        BOOST_TEST(is_complete_answer(it.chat(0, "skills@1", {}, n % 4 == 0)));
     }
     BOOST_TEST(it.node("a1").open_descriptors() < before + 20);
 }
 
-// What a caller does wrong is answered clearly, at once, and counts for nothing.
-BOOST_AUTO_TEST_CASE(mistakes_get_a_clear_status)
+// Guards against invalid requests that get an unspecific status or count in the report.
+BOOST_AUTO_TEST_CASE(invalid_requests_get_a_specific_status_and_no_bill)
 {
     deployment it;
     BOOST_REQUIRE(it.start());
--- a/tests/process/relay.cpp
+++ b/tests/process/relay.cpp
@@ -28,15 +28,15 @@
 } // namespace
 
 struct relay::state {
-    struct pair {
-        int a = -1;
-        int b = -1;
-        bool lost = false;
+    struct connection {
+        int client = -1;
+        int server = -1;
+        bool stalled = false;
     };
     int listener = -1;
     std::uint16_t to = 0;
-    std::vector<pair> pairs;
-    std::atomic<bool> lose{false};
+    std::vector<connection> connections;
+    std::atomic<bool> stall_open{false};
     std::atomic<relay_fault> fault{relay_fault::none};
     std::jthread thread;
 
@@ -58,41 +58,42 @@
         return n > 0;
     }
 
-    /// Direction held back: nothing is read, and the peer's end is not passed on.
-    static bool pass(const pollfd& ready, int from, int to)
+    /// Forwards from one side to the other. While the direction is held back (`events` is 0), reads
+    /// nothing and does not propagate a close.
+    static bool forward_if_ready(const pollfd& ready, int from, int to)
     {
         return ready.events == 0 || ready.revents == 0 || forward(from, to);
     }
 
     void close_all()
     {
-        for (const auto& it : pairs) {
-            ::close(it.a);
-            ::close(it.b);
+        for (const auto& it : connections) {
+            ::close(it.client);
+            ::close(it.server);
         }
-        pairs.clear();
+        connections.clear();
     }
 
     void accept_one()
     {
-        const int a = ::accept4(listener, nullptr, nullptr, SOCK_CLOEXEC);
-        const int b = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
+        const int client = ::accept4(listener, nullptr, nullptr, SOCK_CLOEXEC);
+        const int server = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
         const sockaddr_in address = loopback(to);
-        if (a < 0 ||
-            ::connect(b, reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0) {
-            ::close(a);
-            ::close(b);
+        if (client < 0 ||
+            ::connect(server, reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0) {
+            ::close(client);
+            ::close(server);
             return;
         }
-        pairs.push_back({a, b, false});
+        connections.push_back({client, server, false});
     }
 
     void run(const std::stop_token& stop)
     {
         while (!stop.stop_requested()) {
-            if (lose.exchange(false)) {
-                for (auto& it : pairs) {
-                    it.lost = true;
+            if (stall_open.exchange(false)) {
+                for (auto& it : connections) {
+                    it.stalled = true;
                 }
             }
             const relay_fault now = fault;
@@ -104,31 +105,31 @@
                 ::poll(nullptr, 0, delay_ms);
             }
             std::vector<pollfd> fds{{listener, POLLIN, 0}};
-            for (const auto& it : pairs) {
-                const bool held = it.lost || now == relay_fault::silence;
-                const short there = held ? 0 : POLLIN;
-                const short back = held || now == relay_fault::one_way ? 0 : POLLIN;
-                fds.push_back({it.a, there, 0});
-                fds.push_back({it.b, back, 0});
+            for (const auto& it : connections) {
+                const bool held = it.stalled || now == relay_fault::silence;
+                const short request_events = held ? 0 : POLLIN;
+                const short response_events = held || now == relay_fault::one_way ? 0 : POLLIN;
+                fds.push_back({it.client, request_events, 0});
+                fds.push_back({it.server, response_events, 0});
             }
             ::poll(fds.data(), fds.size(), poll_ms);
-            for (std::size_t n = 0; n < pairs.size(); ++n) {
-                auto& it = pairs[n];
-                if (it.lost || it.a < 0) {
+            for (std::size_t n = 0; n < connections.size(); ++n) {
+                auto& it = connections[n];
+                if (it.stalled || it.client < 0) {
                     continue;
                 }
-                const bool good =
-                    pass(fds[1 + 2 * n], it.a, it.b) && pass(fds[2 + 2 * n], it.b, it.a);
+                const bool good = forward_if_ready(fds[1 + 2 * n], it.client, it.server) &&
+                                  forward_if_ready(fds[2 + 2 * n], it.server, it.client);
                 if (!good) {
-                    ::close(it.a);
-                    ::close(it.b);
-                    it.a = it.b = -1;
+                    ::close(it.client);
+                    ::close(it.server);
+                    it.client = it.server = -1;
                 }
             }
             if ((fds[0].revents & POLLIN) != 0) {
                 accept_one();
             }
-            std::erase_if(pairs, [](const auto& it) { return it.a < 0; });
+            std::erase_if(connections, [](const auto& it) { return it.client < 0; });
         }
         close_all();
         ::close(listener);
@@ -158,9 +159,9 @@
     state_->fault = fault;
 }
 
-void relay::lose_open_connections()
+void relay::stall_open_connections()
 {
-    state_->lose = true;
+    state_->stall_open = true;
 }
 
 } // namespace hickorypost::testing
