--- a/modules/replog/src/replica_replication.cpp
+++ b/modules/replog/src/replica_replication.cpp
@@ -1,4 +1,4 @@
-/// Log replication: appends with pipelining, catch-up by snapshot pieces, commit by quorum.
+/// Log replication: pipelined appends, catch-up by snapshots sent in pieces, commit by quorum.
 
 #include "hickorypost/replog/replica.h"
 #include "hickorypost/wire/codec.h"
@@ -38,7 +38,7 @@
     }
     for (auto& [who, peer] : peers_) {
         if (heartbeat && now > peer.last_answer + options_.election_min) {
-            // Nothing came back for long: what was sent is taken for lost.
+            // No reply for election_min: treat all messages in flight as lost.
             peer.inflight = 0;
             peer.probing = true;
             peer.next = std::max(peer.match + 1, std::min(peer.next, last_index() + 1));
@@ -60,7 +60,7 @@
     if (!heartbeat && (!may_carry || !has_more)) {
         return;
     }
-    auto out = make(message_kind::append);
+    auto out = make_message(message_kind::append);
     out.prev_index = peer.next - 1;
     out.prev_term = term_at(out.prev_index).value_or(0);
     out.commit = commit_;
@@ -84,9 +84,9 @@
 
 void replica::handle_append(const message& msg, instant now)
 {
-    auto reply = make(message_kind::append_reply);
+    auto reply = make_message(message_kind::append_reply);
     reply.sent_us = msg.sent_us;
-    if (msg.term < hard_.term) {
+    if (msg.term < hard_state_.term) {
         send_now(msg.from.node, reply);
         return;
     }
@@ -96,7 +96,7 @@
         send_now(msg.from.node, reply);
         return;
     }
-    if (msg.term > hard_.term || role_ == replica_role::leader ||
+    if (msg.term > hard_state_.term || role_ == replica_role::leader ||
         role_ == replica_role::candidate || role_ == replica_role::pre_candidate ||
         leader_ != msg.from.node) {
         become_follower(msg.term, msg.from.node, now);
@@ -104,11 +104,12 @@
     last_heard_leader_ = now;
     heard_any_leader_ = true;
     reset_election_timer(now);
-    reply.term = hard_.term;
+    reply.term = hard_state_.term;
     const auto own = term_at(msg.prev_index);
     const bool behind_start = msg.prev_index < log_start_index_;
     if (!behind_start && own != msg.prev_term) {
-        // Ask for the entries after what is surely shared: at most our end, and below the conflict.
+        // Ask for the entries after the last index that may match: at most the end of this log,
+        // below the conflicting entry, and at least the commit index.
         reply.match = std::min(last_index(), msg.prev_index - 1);
         reply.match = std::max(reply.match, commit_);
         send_now(msg.from.node, reply);
@@ -145,18 +146,18 @@
 
 void replica::handle_append_reply(const message& msg, instant now)
 {
-    if (msg.term > hard_.term) {
+    if (msg.term > hard_state_.term) {
         become_follower(msg.term, {}, now);
         return;
     }
     const auto found = peers_.find(msg.from);
-    if (role_ != replica_role::leader || msg.term != hard_.term || found == peers_.end()) {
+    if (role_ != replica_role::leader || msg.term != hard_state_.term || found == peers_.end()) {
         return;
     }
     progress& peer = found->second;
     peer.last_answer = now;
-    peer.lease_from =
-        std::max(peer.lease_from, instant{micros{static_cast<std::int64_t>(msg.sent_us)}});
+    peer.acked_send_time =
+        std::max(peer.acked_send_time, instant{micros{static_cast<std::int64_t>(msg.sent_us)}});
     if (peer.inflight > 0) {
         --peer.inflight;
     }
@@ -203,23 +204,23 @@
     }
     const auto nth = matches.begin() + static_cast<std::ptrdiff_t>(quorum() - 1);
     std::nth_element(matches.begin(), nth, matches.end(), std::greater<>{});
-    // An entry of an earlier term may be on a quorum and still be replaced; it commits only
-    // together with one of this term.
-    if (*nth <= commit_ || term_at(*nth) != hard_.term) {
+    // An entry of an earlier term can be overwritten even if it is on a quorum. It is committed
+    // only together with an entry of the current term.
+    if (*nth <= commit_ || term_at(*nth) != hard_state_.term) {
         return;
     }
     commit_ = *nth;
     deliver_committed();
     if (config_index_ <= commit_ && !is_voter(self_)) {
-        become_follower(hard_.term, {}, now);
+        become_follower(hard_state_.term, {}, now);
     }
 }
 
 void replica::continue_snapshot(progress& peer, instant now)
 {
-    // The next piece goes out on the answer to the last. A piece or its answer may be lost while
-    // heartbeats go on being answered: without a time limit of its own the transfer would stand
-    // still for ever, and the host would never become a voter again.
+    // Each piece is sent on the reply to the previous piece. A piece or its reply may be lost while
+    // heartbeats are still replied to; without a retry after election_min the transfer would stall
+    // forever, and the host would never become a voter again.
     if (!peer.snapshot_offset || now > peer.snapshot_sent + options_.election_min) {
         send_snapshot_piece(peer, now);
     }
@@ -233,7 +234,7 @@
         peer.snapshot_offset = 0;
     }
     peer.snapshot_sent = now;
-    auto out = make(message_kind::snapshot_piece);
+    auto out = make_message(message_kind::snapshot_piece);
     out.sent_us = static_cast<std::uint64_t>(now.time_since_epoch().count());
     out.snapshot_index = base_->index;
     out.snapshot_term = base_->term;
@@ -246,15 +247,15 @@
 
 void replica::handle_snapshot_piece(const message& msg, instant now)
 {
-    if (msg.term < hard_.term || !msg.config) {
-        auto reply = make(message_kind::append_reply);
+    if (msg.term < hard_state_.term || !msg.config) {
+        auto reply = make_message(message_kind::append_reply);
         send_now(msg.from.node, reply);
         return;
     }
     heard_any_leader_ = true;
     become_follower(msg.term, msg.from.node, now);
     last_heard_leader_ = now;
-    auto reply = make(message_kind::snapshot_reply);
+    auto reply = make_message(message_kind::snapshot_reply);
     reply.sent_us = msg.sent_us;
     reply.snapshot_index = msg.snapshot_index;
     if (msg.snapshot_index <= commit_ && role_ != replica_role::fresh) {
@@ -301,7 +302,7 @@
     batch.base = base_;
     batch.reset_log = true;
     if (role_ == replica_role::fresh) {
-        save_hard();
+        save_hard_state();
         role_ = replica_role::learner;
     }
     recompute_config();
@@ -312,13 +313,13 @@
 void replica::handle_snapshot_reply(const message& msg, instant now)
 {
     const auto found = peers_.find(msg.from);
-    if (role_ != replica_role::leader || msg.term != hard_.term || found == peers_.end()) {
+    if (role_ != replica_role::leader || msg.term != hard_state_.term || found == peers_.end()) {
         return;
     }
     progress& peer = found->second;
     peer.last_answer = now;
-    peer.lease_from =
-        std::max(peer.lease_from, instant{micros{static_cast<std::int64_t>(msg.sent_us)}});
+    peer.acked_send_time =
+        std::max(peer.acked_send_time, instant{micros{static_cast<std::int64_t>(msg.sent_us)}});
     if (msg.snapshot_index == peer.snapshot_index && peer.snapshot_offset) {
         peer.snapshot_offset = msg.offset;
         send_snapshot_piece(peer, now);
--- a/modules/replog/src/replica_store.cpp
+++ b/modules/replog/src/replica_store.cpp
@@ -17,7 +17,7 @@
     std::string body; ///< encoded `snapshot`
 };
 
-/// One journal record: whatever a batch changed.
+/// One journal record: the changes of one batch.
 struct journal_item {
     std::optional<hard_state> hard;
     bool reset_log = false;
@@ -51,7 +51,7 @@
     BOOST_LEAF_CHECK(out->load_identity(std::move(self), random));
     BOOST_LEAF_CHECK(out->load_snapshot());
     BOOST_LEAF_CHECK(out->load_journal());
-    out->recovered_.hard = out->hard_;
+    out->recovered_.hard = out->hard_state_;
     return out;
 }
 
@@ -67,7 +67,7 @@
     BOOST_LEAF_AUTO(bytes, fs_->read_file(name));
     const auto file = wire::try_decode<identity_file>(bytes);
     if (!file) {
-        return damaged(name, "not an identity");
+        return damaged(name, "identity file cannot be decoded");
     }
     recovered_.self.disk = file->disk;
     return {};
@@ -83,11 +83,11 @@
     BOOST_LEAF_AUTO(bytes, fs_->read_file(name));
     const auto file = wire::try_decode<snapshot_file>(bytes);
     if (!file || hash_bytes(file->body) != file->checksum) {
-        return damaged(name, "checksum does not match");
+        return damaged(name, "snapshot checksum does not match");
     }
     recovered_.base = wire::try_decode<snapshot>(file->body);
     if (!recovered_.base) {
-        return damaged(name, "not a snapshot");
+        return damaged(name, "snapshot cannot be decoded");
     }
     return {};
 }
@@ -99,7 +99,7 @@
     auto opened = storage::journal::open(
         *fs_, std::move(options),
         [this] {
-            return wire::encode(journal_item{hard_, false, {}});
+            return wire::encode(journal_item{hard_state_, false, {}});
         },
         [this](std::uint64_t, std::string_view payload) { replay(payload); });
     BOOST_LEAF_AUTO(journal, std::move(opened));
@@ -111,10 +111,12 @@
 {
     auto item = wire::try_decode<journal_item>(payload);
     if (!item) {
-        return; // the checksum held, so this is a record kind of a later release without entries
+        // The journal has verified the checksum, so this is a kind of record without entries that a
+        // later release wrote.
+        return;
     }
     if (item->hard) {
-        hard_ = *item->hard;
+        hard_state_ = *item->hard;
     }
     auto& entries = recovered_.entries;
     if (item->reset_log) {
@@ -137,7 +139,7 @@
         BOOST_LEAF_CHECK(storage::replace_file(*fs_, prefix_ + "snapshot", wire::encode(file)));
     }
     if (batch.hard) {
-        hard_ = *batch.hard;
+        hard_state_ = *batch.hard;
     }
     if (batch.hard || batch.reset_log || !batch.entries.empty()) {
         const std::uint64_t tag = batch.entries.empty() ? 0 : batch.entries.back().index;
